--- a/packages/core/src/hitchdeck_core/quarantine/casualties.py
+++ b/packages/core/src/hitchdeck_core/quarantine/casualties.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
 ENOUGH_LIVES = 3
@@ -25,7 +25,7 @@
     """An upstream's life that ended while a content was open there."""
 
     content: Fingerprint
-    life: LifeId
+    life: UpstreamIncarnation
 
 
 class Casualties:
@@ -33,8 +33,8 @@
 
     def __init__(self, now: Clock) -> None:
         self.now = now
-        self.by_content: dict[Fingerprint, set[LifeId]] = defaultdict(set)
-        self.by_life: dict[LifeId, set[Fingerprint]] = defaultdict(set)
+        self.by_content: dict[Fingerprint, set[UpstreamIncarnation]] = defaultdict(set)
+        self.by_life: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(set)
         self.order: deque[tuple[float, Casualty]] = deque()
 
     def add(self, casualty: Casualty) -> bool:
@@ -66,7 +66,7 @@
         for life in list(self.by_content.get(content, ())):
             self._forget(Casualty(content, life))
 
-    def _is_explained(self, life: LifeId, times: int) -> bool:
+    def _is_explained(self, life: UpstreamIncarnation, times: int) -> bool:
         """Tell whether another content of a life was at more ends than ``times``."""
         return any(len(self.by_content[one]) > times for one in self.by_life[life])
 
--- a/packages/core/src/hitchdeck_core/quarantine/endings.py
+++ b/packages/core/src/hitchdeck_core/quarantine/endings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core import logs
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.supervisor import Supervisor
@@ -44,22 +44,24 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        on_end: Callable[[LifeId], object],
+        on_end: Callable[[UpstreamIncarnation], object],
     ) -> None:
         self.quarantine = quarantine
         self.on_end = on_end
-        self.probed: dict[LifeId, set[Fingerprint]] = defaultdict(set)
-        self.suspected: dict[LifeId, SuspectedCrash] = {}
+        self.probed: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(set)
+        self.suspected: dict[UpstreamIncarnation, SuspectedCrash] = {}
         self.tasks = Supervisor('endings')
 
-    def note(self, life: LifeId, content: Fingerprint, reaches: Reaches) -> None:
+    def note(
+        self, life: UpstreamIncarnation, content: Fingerprint, reaches: Reaches
+    ) -> None:
         """Note that no whole answer to a content came from an upstream."""
         asked = life in self.probed
         self.probed[life].add(content)
         if not asked:
             self.tasks.temporary(life, self._ask(life, reaches))
 
-    def confirm(self, life: LifeId) -> None:
+    def confirm(self, life: UpstreamIncarnation) -> None:
         """Note that a life has surely ended, as its next one is known."""
         self._expire()
         crash = self.suspected.pop(life, None)
@@ -69,7 +71,7 @@
         if in_flight:
             self.quarantine.note_end(life, in_flight)
 
-    async def _ask(self, life: LifeId, reaches: Reaches) -> None:
+    async def _ask(self, life: UpstreamIncarnation, reaches: Reaches) -> None:
         try:
             alive = await reaches()
         finally:
@@ -88,7 +90,7 @@
         self.on_end(life)
         self.quarantine.note_end(life, there)
 
-    def _suspect(self, life: LifeId, there: set[Fingerprint]) -> None:
+    def _suspect(self, life: UpstreamIncarnation, there: set[Fingerprint]) -> None:
         self._expire()
         before = self.suspected.pop(life, None)
         known = before.in_flight if before else frozenset()
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -12,7 +12,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.casualties import (
     MOST_REMEMBERED,
     Casualties,
@@ -80,7 +80,9 @@
         """Tell whether a content is to be kept away from upstreams."""
         return self.verdicts.holds(content)
 
-    def note_end(self, life: LifeId, there: Collection[Fingerprint]) -> None:
+    def note_end(
+        self, life: UpstreamIncarnation, there: Collection[Fingerprint]
+    ) -> None:
         """Note that an upstream ended under what was open there."""
         logs.warning(
             'upstream ended',
@@ -103,7 +105,7 @@
             self.answered.popitem(last=False)
         self._clear(content)
 
-    def take(self, news: News, origin: str) -> set[LifeId]:
+    def take(self, news: News, origin: str) -> set[UpstreamIncarnation]:
         """Take what another process tells; return the lives whose end is news."""
         for verdict in news.verdicts:
             self._take_verdict(verdict, origin)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -6,7 +6,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, UpstreamName
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.endings import Endings
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict, verdict_on
@@ -109,7 +109,7 @@
         self.endings.confirm(record.life)
         self.backpressure.pass_on(record.name, newer.name)
 
-    def _note_crash(self, life: LifeId) -> None:
+    def _note_crash(self, life: UpstreamIncarnation) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
         self.placement.health.crash(UpstreamName(life))
 
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -15,7 +15,7 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId
+from hitchdeck_core.ids import Address, UpstreamIncarnation
 from hitchdeck_core.quarantine.endings import Endings, Reaches
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
@@ -58,10 +58,10 @@
 async def test_an_end_that_still_took_a_connection_is_found(
     asker: Callable[[Address], Reaches],
 ) -> None:
-    ended: list[LifeId] = []
+    ended: list[UpstreamIncarnation] = []
     endings = Endings(Quarantine(boot_seconds, Signal()), ended.append)
     reaches = asker(await Ending().listen())
-    endings.note(LifeId('e0'), fingerprint_of(b'lethal'), reaches)
+    endings.note(UpstreamIncarnation('e0'), fingerprint_of(b'lethal'), reaches)
     async with asyncio.timeout(SECONDS):
         while not ended:
             await asyncio.sleep(0.02)
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.casualties import (
     MOST_REMEMBERED,
     REMEMBERED_SECONDS,
@@ -53,7 +53,7 @@
 
 def end_lives(quarantine: Quarantine, *open_there: tuple[Fingerprint, ...]) -> None:
     for number, there in enumerate(open_there):
-        quarantine.note_end(LifeId(f'e{number}'), there)
+        quarantine.note_end(UpstreamIncarnation(f'e{number}'), there)
 
 
 def verdict_of(number: int, standing: Standing, since: float = 1000.0) -> Verdict:
@@ -95,7 +95,7 @@
 def test_one_end_counts_once_however_many_boxes_saw_it() -> None:
     quarantine = quarantine_by(ByHand())
     for _ in range(5):
-        quarantine.note_end(LifeId('e0'), [LETHAL])
+        quarantine.note_end(UpstreamIncarnation('e0'), [LETHAL])
     assert not quarantine.holds(LETHAL)
 
 
@@ -104,17 +104,17 @@
     quarantine = quarantine_by(clock)
     end_lives(quarantine, (LETHAL,), (LETHAL,))
     clock.seconds += REMEMBERED_SECONDS + 1
-    quarantine.note_end(LifeId('late'), [LETHAL])
+    quarantine.note_end(UpstreamIncarnation('late'), [LETHAL])
     assert not quarantine.holds(LETHAL)
 
 
 def test_what_is_remembered_of_ends_is_bounded() -> None:
     casualties = Casualties(float)
     for number in range(MOST_REMEMBERED + 100):
-        casualties.add(Casualty(Fingerprint(b'%d' % number), LifeId('e')))
+        casualties.add(Casualty(Fingerprint(b'%d' % number), UpstreamIncarnation('e')))
     assert len(casualties.order) == MOST_REMEMBERED
     assert len(casualties.by_content) == MOST_REMEMBERED
-    assert len(casualties.by_life[LifeId('e')]) == MOST_REMEMBERED
+    assert len(casualties.by_life[UpstreamIncarnation('e')]) == MOST_REMEMBERED
 
 
 def test_verdicts_are_bounded() -> None:
@@ -183,11 +183,11 @@
     quarantine = quarantine_by(ByHand())
     end_lives(quarantine, (LETHAL,), (LETHAL,))
     first, told = quarantine.news_since(NOTHING)
-    quarantine.note_end(LifeId('third'), [LETHAL])
+    quarantine.note_end(UpstreamIncarnation('third'), [LETHAL])
     second, told = quarantine.news_since(told)
     third, _ = quarantine.news_since(told)
     assert len(first.casualties) == 2
-    assert second.casualties == (Casualty(LETHAL, LifeId('third')),)
+    assert second.casualties == (Casualty(LETHAL, UpstreamIncarnation('third')),)
     assert [one.standing for one in second.verdicts] == [Standing.quarantined]
     assert third == News((), ())
 
@@ -242,7 +242,7 @@
     reached: bool,
 ) -> None:
     quarantine = quarantine_by(ByHand())
-    ended: list[LifeId] = []
+    ended: list[UpstreamIncarnation] = []
     asked = count()
     endings = Endings(quarantine, ended.append)
 
@@ -250,8 +250,8 @@
         next(asked)
         return reached
 
-    endings.note(LifeId('e0'), LETHAL, reaches)
-    endings.note(LifeId('e0'), SOUND, reaches)
+    endings.note(UpstreamIncarnation('e0'), LETHAL, reaches)
+    endings.note(UpstreamIncarnation('e0'), SOUND, reaches)
     await endings.tasks.tasks['e0-1']
     assert next(asked) == 1
     assert ended == ([] if reached else ['e0'])
@@ -271,8 +271,8 @@
     async def reaches() -> bool:
         return True
 
-    endings.note(LifeId('e0'), LETHAL, reaches)
+    endings.note(UpstreamIncarnation('e0'), LETHAL, reaches)
     await endings.tasks.tasks['e0-1']
     clock.seconds += seconds
-    endings.confirm(LifeId('e0'))
+    endings.confirm(UpstreamIncarnation('e0'))
     assert bool(quarantine.seen) is counted
