--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -107,7 +107,7 @@
         else:
             self.connections.cut(record.name)
         self.endings.confirm(record.life)
-        self.backpressure.pass_on(record.name, newer.name)
+        self.backpressure.transfer_backoff(record.name, newer.name)
 
     def _note_crash(self, life: UpstreamIncarnation) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
@@ -137,7 +137,7 @@
         and for a connection.
         """
         name = choice.upstream.name
-        if not self.backpressure.wants_requests(name):
+        if not self.backpressure.accepts_requests(name):
             self.connections.put_back(name, connection)
             raise NotWantedError(f'{name} asked for a pause, or leaves')
         if not self.placement.registry.takes_work(choice.upstream):
@@ -258,7 +258,7 @@
         self.backpressure.pause(name, mark.pause)
         # A box in reach of no hub sent 12 of 12 further requests to one that left.
         if mark.leaving:
-            self.backpressure.leave(name)
+            self.backpressure.mark_leaving(name)
 
     def _judge(self, service: Service, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -107,8 +107,8 @@
             sender.connections.drop(name)
         for record, newer in registry.replaced():
             sender.leave(record, newer)
-        sender.backpressure.keep(registry.names())
-        self.admission.gauges.unwilling = len(sender.backpressure.closed())
+        sender.backpressure.retain(registry.names())
+        self.admission.gauges.unwilling = len(sender.backpressure.blocked())
         self.admission.gauges.upstream_changes = registry.changes
         self.admission.gauges.handed_on = self.door.handoff.handed
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -32,12 +32,12 @@
     def pause_left(self, pool: PoolName) -> float:
         """Return how long every upstream of a pool wants a pause, in seconds."""
         serving = self.local.placement.registry.serving(pool)
-        return self.backpressure.seconds_left(one.name for one in serving)
+        return self.backpressure.seconds_until_accepting(one.name for one in serving)
 
     async def choose(self, passage: Passage) -> Choice | Refusal:
         """Return the upstream to send a request to, or why it is refused."""
         wanted = passage.wanted(self.domain)
-        closed = self.backpressure.closed()
+        closed = self.backpressure.blocked()
         if closed:
             wanted = replace(wanted, avoid=frozenset(closed))
             if not self.local.placement.eligible(wanted):
