--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
+from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.endings import Endings
@@ -222,7 +222,7 @@
     def _note_start(self, passage: Passage, attempt: Attempt) -> None:
         attempt.ticket.start()
         self.link.start(attempt.number)
-        if busy_part() <= SHORT_OF_TIME:
+        if loop_utilization() <= SHORT_OF_TIME:
             self.placement.measure(attempt.ticket, passage.wanted(self.domain))
 
     async def _own_head(
