--- a/packages/edge/src/hitchdeck_edge/links/attend.py
+++ b/packages/edge/src/hitchdeck_edge/links/attend.py
@@ -16,7 +16,7 @@
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address
 from hitchdeck_core.signals import Signal
-from hitchdeck_core.supervisor import Supervisor, Work
+from hitchdeck_core.supervisor import Supervisor, TaskFunction
 from hitchdeck_core.wire.spread_grpc import SpreadStub
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
 from hitchdeck_edge.links.hubs import HubBook
@@ -98,7 +98,7 @@
         for address in wanted - set(self.tasks.tasks):
             self.tasks.permanent(address, self._work(address))
 
-    def _work(self, address: Address) -> Work:
+    def _work(self, address: Address) -> TaskFunction:
         async def work() -> None:
             pause = FIRST_RETRY_SECONDS
             while True:
