--- a/packages/edge/src/hitchdeck_edge/settings.py
+++ b/packages/edge/src/hitchdeck_edge/settings.py
@@ -7,7 +7,7 @@
 
 from hitchdeck_core.checks import (
     check_address,
-    check_flag,
+    check_boolean,
     check_name,
     check_number,
     check_text,
@@ -25,7 +25,7 @@
 Check = Callable[[object], object]
 
 _positive = partial(check_number, above=0)
-_not_negative = partial(check_number, least=0)
+_not_negative = partial(check_number, minimum=0)
 _BOX_CHECKS: tuple[tuple[str, Check], ...] = (
     ('box', check_name),
     ('domain', check_name),
@@ -35,14 +35,14 @@
     ('retry_share', _not_negative),
     ('retry_extra', _not_negative),
     ('retry_window', _not_negative),
-    ('fleet_token', partial(check_text, least=LEAST_TOKEN)),
+    ('fleet_token', partial(check_text, min_length=LEAST_TOKEN)),
 )
 _HUB_CHECKS: tuple[tuple[str, Check], ...] = (
-    ('may_found', check_flag),
+    ('may_found', check_boolean),
     ('disks_lost', _not_negative),
     ('report_period', _positive),
-    ('heartbeat', partial(check_number, above=0, most=_LONGEST_HEARTBEAT)),
-    ('election_timeout', partial(check_number, above=0, most=_LONGEST_ELECTION)),
+    ('heartbeat', partial(check_number, above=0, maximum=_LONGEST_HEARTBEAT)),
+    ('election_timeout', partial(check_number, above=0, maximum=_LONGEST_ELECTION)),
 )
 
 
