--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -53,7 +53,7 @@
 
 async def found_alone(replica: Replica) -> None:
     """Make this replica the only voter of a new group."""
-    await membership.found(replica, [_member(_own_hello(replica), voter=True)])
+    await membership.found_group(replica, [_member(_own_hello(replica), voter=True)])
     logs.info('group founded', replica=replica.identity.replica)
 
 
@@ -76,9 +76,9 @@
     for attendee in attendees.hubs():
         if attendee.hello.replica:
             await _admit(replica, attendee.hello)
-    silent = membership.silent_voters(replica, SILENT_SECONDS)
+    silent = membership.unresponsive_voters(replica, SILENT_SECONDS)
     if silent and len(replica.voters()) - len(silent) >= needed:
-        await membership.dismiss(replica, silent[0])
+        await membership.remove_replica(replica, silent[0])
 
 
 async def _admit(replica: Replica, hello: Hello) -> None:
@@ -87,10 +87,10 @@
         return
     newcomer = _member(hello, voter=False)
     if any(one.box == newcomer.box for one in replica.voters()):
-        await membership.replace(replica, newcomer)
+        await membership.replace_replica(replica, newcomer)
         return
     promote = len(replica.voters()) < MOST_VOTERS
-    await membership.admit(replica, newcomer, promote=promote)
+    await membership.add_replica(replica, newcomer, promote=promote)
 
 
 def _own_hello(replica: Replica) -> Hello:
