--- a/packages/core/src/hitchdeck_core/wire/__init__.py
+++ b/packages/core/src/hitchdeck_core/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes, generated from ``hitchdeck.proto``."""
+"""Messages between processes, generated from the ``.proto`` files."""
