--- a/packages/core/src/hitchdeck_core/__init__.py
+++ b/packages/core/src/hitchdeck_core/__init__.py
@@ -1,1 +1,1 @@
-"""What every hitchdeck process shares: ids, selectors, settings, messages."""
+"""Code shared by all hitchdeck processes: ids, selectors, settings, messages."""
--- a/packages/core/src/hitchdeck_core/backpressure.py
+++ b/packages/core/src/hitchdeck_core/backpressure.py
@@ -1,8 +1,9 @@
-"""Upstreams that want nothing from this process, by their own word.
+"""Backpressure that upstreams apply to this process.
 
-An upstream says so in an answer, and says it to whom it answers: another process
-may still be welcome there.  So each keeps what it was told, goes by it whoever
-chooses the upstream, and forgets it when it ends.
+An upstream asks for a pause, or announces its shutdown, in a response.  The signal
+is meant for the process that receives the response: the upstream may still accept
+requests from others.  Each process therefore keeps what it received to itself,
+applies it whichever component chose the upstream, and loses it when it exits.
 """
 
 from collections.abc import Iterable, Set
@@ -15,14 +16,15 @@
 
 
 class Backpressure:
-    """What each upstream asked of this process.
+    """Backoff and shutdown state of each upstream, as signalled to this process.
 
     Attributes
     ----------
-    paused
-        Until when each upstream wants nothing, on the given clock, in seconds.
+    backoff_until
+        Time on the given clock, in seconds, before which an upstream must not be
+        sent requests.
     leaving
-        Upstreams that leave, and want nothing any more.
+        Upstreams that are shutting down and accept no further requests.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -31,7 +33,7 @@
         self.leaving: set[UpstreamName] = set()
 
     def pause(self, name: UpstreamName, seconds: float) -> None:
-        """Note that an upstream wants nothing for so long; 0 is no wish."""
+        """Stop sending to an upstream for a time in seconds; 0 has no effect."""
         until = self.now() + seconds
         known = self.backoff_until.get(name, 0)
         if seconds <= 0 or until <= known:
@@ -41,36 +43,36 @@
             logs.info('upstream paused', upstream=name, seconds=round(seconds, 3))
 
     def mark_leaving(self, name: UpstreamName) -> None:
-        """Note that an upstream leaves: for good, whatever it reports later."""
+        """Mark an upstream as shutting down; later reports don't revoke it."""
         if name not in self.leaving:
             self.leaving.add(name)
             logs.info('upstream leaves', upstream=name)
 
     def transfer_backoff(self, earlier: UpstreamName, later: UpstreamName) -> None:
-        """Hold a pause also for the life that has replaced an upstream's.
+        """Apply an upstream's remaining backoff to the incarnation that replaced it.
 
-        It may be the one that asked: it answers for some time before this process
-        knows of it.  That a life leaves is not held against the next, for which it
-        would never end.
+        The new incarnation may be the one that asked for it, since it answers
+        requests for some time before this process learns of it.  The shutdown mark
+        is not transferred, because it would never be cleared.
         """
         if earlier in self.backoff_until:
             self.pause(later, self.backoff_until[earlier] - self.now())
 
     def accepts_requests(self, name: UpstreamName) -> bool:
-        """Tell whether an upstream may be sent a request."""
+        """Return whether requests may be sent to an upstream."""
         return name not in self.blocked()
 
     def blocked(self) -> Set[UpstreamName]:
-        """Return the upstreams that must get nothing now."""
+        """Return the upstreams to which no request may be sent now."""
         if not self.backoff_until and not self.leaving:
             return _NO_UPSTREAMS
         self._expire()
         return self.leaving.union(self.backoff_until)
 
     def seconds_until_accepting(self, names: Iterable[UpstreamName]) -> float:
-        """Return until when none of these upstreams wants anything, in seconds.
+        """Return the seconds until the first of these upstreams accepts requests.
 
-        0 if one does now, or if all of them leave.
+        0 if one accepts requests now, or if all of them are shutting down.
         """
         blocked = self.blocked()
         now = self.now()
@@ -82,7 +84,7 @@
         return min(left, default=0)
 
     def retain(self, names: Iterable[UpstreamName]) -> None:
-        """Forget all other upstreams."""
+        """Drop the state of all upstreams but these."""
         kept = set(names)
         self.leaving &= kept
         for name in self.backoff_until.keys() - kept:
--- a/packages/core/src/hitchdeck_core/channels.py
+++ b/packages/core/src/hitchdeck_core/channels.py
@@ -1,4 +1,4 @@
-"""Calls and streams between processes, over grpclib."""
+"""gRPC channels and servers with token authentication, and bounded queues."""
 
 import asyncio
 import hmac
@@ -22,7 +22,7 @@
     OSError,
     asyncio.TimeoutError,
 )
-"""What a broken link may raise; layers above turn these into their own."""
+"""Errors that a broken connection may raise; callers convert them to their own."""
 
 _TOKEN_METADATA_KEY = 'hitchdeck-token'
 
@@ -30,13 +30,13 @@
 
 
 def split_address(address: Address) -> tuple[str, int]:
-    """Return the host and the port of ``IP:port``."""
+    """Split ``IP:port`` into host and port."""
     host, _, port = address.rpartition(':')
     return host.strip('[]'), int(port)
 
 
 def open_channel(address: Address, token: str) -> Channel:
-    """Return a channel that shows a token with every call."""
+    """Return a channel that sends a token with every call."""
     host, port = split_address(address)
     channel = Channel(host, port)
 
@@ -48,11 +48,11 @@
 
 
 Authorizer = Callable[[str, str], bool]
-"""Told the token shown and the method's path, says if the call may go on."""
+"""Decides on a call, given the presented token and the path of the method."""
 
 
 def require_fleet_token(fleet_token: str) -> Authorizer:
-    """Return a check that lets only the fleet's own processes in."""
+    """Return an authorizer that accepts only the fleet's own processes."""
 
     def authorize(presented_token: str, method: str) -> bool:
         return hmac.compare_digest(presented_token.encode(), fleet_token.encode())
@@ -65,7 +65,7 @@
     address: Address,
     authorize: Authorizer,
 ) -> Server:
-    """Start a server that refuses calls whose token is not good for them."""
+    """Start a server that rejects calls which the authorizer denies."""
     server = Server(handlers)
 
     async def check_token(event: RecvRequest) -> None:
@@ -82,9 +82,9 @@
 class Outbox(Generic[Queued]):
     """A bounded queue of messages for one peer.
 
-    A peer that does not keep up is cut off rather than waited for: whoever
-    fills the box gets ``LinkError`` and drops the link, and the peer asks
-    for the whole state when it comes back.
+    A peer that doesn't keep up is disconnected instead of delaying the sender:
+    ``put`` raises ``LinkError`` on a full queue, the sender closes the connection,
+    and the peer requests the full state when it reconnects.
     """
 
     def __init__(self, capacity: int = 10_000) -> None:
@@ -93,14 +93,14 @@
         self.not_empty = asyncio.Event()
 
     def put(self, message: Queued) -> None:
-        """Add a message, or raise ``LinkError`` if the peer is too slow."""
+        """Add a message, or raise ``LinkError`` if the queue is full."""
         if len(self.messages) >= self.capacity:
             raise LinkError(f'peer is {self.capacity} messages behind')
         self.messages.append(message)
         self.not_empty.set()
 
     async def take_all(self) -> list[Queued]:
-        """Wait for messages and return all that are there."""
+        """Wait for messages, and remove and return all of them."""
         await self.not_empty.wait()
         self.not_empty.clear()
         taken = self.messages
--- a/packages/core/src/hitchdeck_core/checks.py
+++ b/packages/core/src/hitchdeck_core/checks.py
@@ -1,8 +1,8 @@
-"""Checks of single fields, without a library that is slow to load.
+"""Validation of single fields, without a library that is slow to import.
 
-A process that restarts serves nobody until its modules are loaded: the
-settings' library took 115 of the 520 ms of processor time that the modules of
-an entry box took (least of 15 loads), and these checks take 2.
+A process serves no requests until its modules are imported.  Importing pydantic
+took 115 of the 520 ms of processor time that the modules of an entry box took
+(minimum of 15 runs); these checks take 2 ms.
 """
 
 import ipaddress
@@ -11,19 +11,19 @@
 import reprlib
 
 NAME_PATTERN = '^[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?$'
-"""What the name of a box or failure domain must match."""
+"""Pattern of the names of boxes and failure domains."""
 
 _LAST_PORT = 65535
 _PORT_DIGITS = 5
 
 
 def abbreviated(given: object) -> str:
-    """Return how a value is told in an error: of any size, in few words."""
+    """Return a repr for error messages, shortened for large inputs."""
     return reprlib.repr(given)
 
 
 def check_address(given: object) -> str:
-    """Return ``IP:port`` text, or raise ``ValueError`` naming what is wrong."""
+    """Return valid ``IP:port`` text, or raise ``ValueError``."""
     text = check_text(given)
     host, colon, port = text.rpartition(':')
     digits = port.isascii() and port.isdecimal() and len(port) <= _PORT_DIGITS
@@ -37,7 +37,7 @@
 
 
 def check_text(given: object, min_length: int = 1) -> str:
-    """Return text of at least so many characters, or raise ``ValueError``."""
+    """Return text of a minimum length, or raise ``ValueError``."""
     if not isinstance(given, str):
         raise ValueError(f'{abbreviated(given)} is not text')
     if len(given) < min_length:
@@ -46,7 +46,7 @@
 
 
 def check_name(given: object) -> str:
-    """Return the name of a box or failure domain, or raise ``ValueError``."""
+    """Return a valid name of a box or failure domain, or raise ``ValueError``."""
     text = check_text(given)
     if not re.fullmatch(NAME_PATTERN, text):
         raise ValueError(
@@ -67,9 +67,9 @@
     Parameters
     ----------
     above
-        The number must be greater.
+        Exclusive lower bound.
     minimum, maximum
-        The number may be equal to these.
+        Inclusive bounds.
     """
     if isinstance(given, bool) or not isinstance(given, int | float):
         raise ValueError(f'{abbreviated(given)} is not a number')
@@ -83,7 +83,7 @@
 
 
 def check_boolean(given: object) -> bool:
-    """Return a truth value, or raise ``ValueError``."""
+    """Return a boolean, or raise ``ValueError``."""
     if not isinstance(given, bool):
         raise ValueError(f'{abbreviated(given)} is neither true nor false')
     return given
--- a/packages/core/src/hitchdeck_core/clock.py
+++ b/packages/core/src/hitchdeck_core/clock.py
@@ -1,8 +1,8 @@
 """Clocks.
 
-Leases need a clock that goes on while the process is stopped or the machine
-sleeps: a frozen holder must find its lease lapsed when it thaws.  The event
-loop's clock stands still in a suspended machine, hence ``CLOCK_BOOTTIME``.
+Leases need a clock that advances while the process is stopped or the machine is
+suspended, so that a holder finds its lease expired when it resumes.  The default
+clock of the event loop stops during a suspension, hence ``CLOCK_BOOTTIME``.
 """
 
 import time
@@ -13,15 +13,15 @@
 
 
 def boot_seconds() -> float:
-    """Return seconds since boot, counting the time asleep."""
+    """Return seconds since boot, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def boot_clock() -> Clock:
-    """Return the clock of ``boot_seconds``, as one call into the system."""
+    """Return ``boot_seconds`` as a callable without a Python frame of its own."""
     return partial(time.clock_gettime, time.CLOCK_BOOTTIME)
 
 
 def wall_seconds() -> float:
-    """Return seconds since the Unix epoch; never used to judge a lease."""
+    """Return seconds since the Unix epoch; not suitable for leases."""
     return time.time()
--- a/packages/core/src/hitchdeck_core/commands.py
+++ b/packages/core/src/hitchdeck_core/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the control group commits."""
+"""Commands in the control group's replicated log."""
 
 from typing import Annotated, Literal
 
@@ -12,8 +12,8 @@
 class Put(Message):
     """Create or replace a resource.
 
-    ``based_on`` is the version of it that the operator saw, 0 for "does not
-    exist"; ``None`` writes without looking.
+    ``based_on`` is the version that the resource must have, 0 if it must not
+    exist; ``None`` writes unconditionally.
     """
 
     op: Literal['put'] = 'put'
@@ -22,7 +22,7 @@
 
 
 class Delete(Message):
-    """Remove a resource."""
+    """Delete a resource; ``based_on`` is as in ``Put``."""
 
     op: Literal['delete'] = 'delete'
     kind: str
@@ -31,17 +31,16 @@
 
 
 class Batch(Message):
-    """Changes that all take place, or none."""
+    """Changes that are applied atomically."""
 
     op: Literal['batch'] = 'batch'
     changes: tuple[Put | Delete, ...]
 
 
 class Claim(Message):
-    """A router's claim to be the one that runs a non-repeatable request.
+    """A router's claim to run a non-repeatable request exclusively.
 
-    ``issued`` and ``now`` are Unix seconds: when the caller made the key, and
-    the leader's clock when it took the claim.
+    ``issued`` is when the caller generated the idempotency key, in Unix seconds.
     """
 
     op: Literal['claim'] = 'claim'
@@ -56,7 +55,7 @@
 
 
 class Settle(Message):
-    """The outcome of a claimed request, kept for those who ask again."""
+    """The outcome of a claimed request, stored for retries of the caller."""
 
     op: Literal['settle'] = 'settle'
     account: str
@@ -69,7 +68,7 @@
 
 
 class AssignShard(Message):
-    """Make one router life the scheduler of a shard."""
+    """Make one incarnation of a router the scheduler of a shard."""
 
     op: Literal['assign'] = 'assign'
     shard: ShardId
@@ -78,7 +77,7 @@
 
 
 class PlaceOrder(Message):
-    """Ask an upstream to load or unload something, or to change its role."""
+    """Order an upstream to load or unload a target, or to change its role."""
 
     op: Literal['order'] = 'order'
     upstream: str
@@ -88,7 +87,7 @@
 
 
 class FinishOrder(Message):
-    """What became of an order."""
+    """The result of an order."""
 
     op: Literal['finish'] = 'finish'
     sequence: int
@@ -97,7 +96,7 @@
 
 
 class NoOperation(Message):
-    """A new leader's first entry; it commits what earlier terms left."""
+    """A new leader's first entry, which commits the entries of earlier terms."""
 
     op: Literal['nothing'] = 'nothing'
 
@@ -117,11 +116,12 @@
 
 
 class Submission(Message):
-    """A command as it stands in the log.
+    """A command as stored in the log.
 
-    ``operator`` and ``number`` identify it across resends; both empty for
-    commands that are idempotent by themselves.  ``taken_at`` is the leader's
-    wall clock, the only clock that applying may look at.
+    ``operator`` and ``number`` identify it across retries; both are empty for
+    idempotent commands.  ``taken_at`` is the leader's wall clock in Unix seconds
+    when it accepted the command.  Applying a command may use no other clock, so
+    that all replicas compute the same state.
     """
 
     command: Command
--- a/packages/core/src/hitchdeck_core/control_client.py
+++ b/packages/core/src/hitchdeck_core/control_client.py
@@ -1,4 +1,4 @@
-"""Commands and questions to whichever control box leads."""
+"""Client that sends commands and queries to the control group's leader."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,11 +32,11 @@
 
 
 class RejectedError(HitchdeckError):
-    """Raised when the leader says that a question is malformed."""
+    """Raised when the leader rejects a query as malformed."""
 
 
 class ControlClient:
-    """Finds the leader and follows it when it changes."""
+    """Client that finds the leader and reconnects when it changes."""
 
     def __init__(self, addresses: tuple[Address, ...], token: str) -> None:
         self.addresses = addresses
@@ -52,17 +52,17 @@
         operator: str = '',
         number: int = 0,
     ) -> Outcome:
-        """Run a command, sending it again until an outcome is known.
+        """Run a command, retrying until its outcome is known.
 
-        Only for commands that may be resent: under an operator's number, or
-        idempotent by themselves.
+        The command must be safe to retry: idempotent, or identified by the number
+        that an operator gave it.
 
         Raises
         ------
         LinkError
-            No outcome within ``seconds``; the command may have run.
+            No outcome within ``seconds``; the command may still have run.
         AuthenticationError
-            The token is not known.
+            The token is unknown.
         """
         request = ExecuteRequest(
             operator=operator,
@@ -76,7 +76,7 @@
         return outcome_codec.validate_json(reply.outcome)
 
     async def read(self, query: Query, answer: type[Answer], seconds: float) -> Answer:
-        """Ask a question; raises as ``execute`` does."""
+        """Run a query; raises the same errors as ``execute``."""
         request = ReadRequest(query=query_codec.dump_json(query))
         reply = await self._until_answered(
             lambda stub: stub.Read(request, timeout=seconds),
@@ -85,7 +85,7 @@
         return answer.model_validate_json(reply.answer)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close all channels."""
         for channel in self.channels.values():
             channel.close()
 
@@ -112,7 +112,7 @@
                     self.leader = address
                     return reply
                 self.leader = Address(reply.leader_address)
-                last_failure = f'{address} does not lead'
+                last_failure = f'{address} is not the leader'
             await asyncio.sleep(backoff)
             backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
         raise LinkError(f'control group: {last_failure} (tried for {seconds} s)')
--- a/packages/core/src/hitchdeck_core/errors.py
+++ b/packages/core/src/hitchdeck_core/errors.py
@@ -2,24 +2,24 @@
 
 
 class HitchdeckError(Exception):
-    """Base of every error that hitchdeck raises for a user to read."""
+    """Base of all errors with a message for the user."""
 
 
 class SelectorError(HitchdeckError):
-    """Raised when a label, key or selector is not written as it must be."""
+    """Raised when a label or a selector has invalid syntax."""
 
 
 class SettingsError(HitchdeckError):
-    """Raised when a settings file can't be read or says what it may not."""
+    """Raised when a settings file can't be read or fails validation."""
 
 
 class ResourceError(HitchdeckError):
-    """Raised when a resource definition is malformed."""
+    """Raised when a resource definition is invalid."""
 
 
 class LinkError(HitchdeckError):
-    """Raised when a peer can't be reached or answers out of protocol."""
+    """Raised when a peer can't be reached or violates the protocol."""
 
 
 class AuthenticationError(HitchdeckError):
-    """Raised when a bearer token is absent or known to nobody."""
+    """Raised when a bearer token is missing or unknown."""
--- a/packages/core/src/hitchdeck_core/field_types.py
+++ b/packages/core/src/hitchdeck_core/field_types.py
@@ -1,4 +1,4 @@
-"""Types of fields that settings and resources have in common."""
+"""Field types shared by settings and resources."""
 
 from typing import Annotated
 
@@ -12,6 +12,6 @@
 
 
 class Section(BaseModel):
-    """Base of every section of settings: unknown keys are errors."""
+    """Base of all settings sections; rejects unknown keys."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
--- a/packages/core/src/hitchdeck_core/hashing.py
+++ b/packages/core/src/hitchdeck_core/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: stable choices that move little when members change."""
+"""Rendezvous hashing: choices that change little when the members change."""
 
 import hashlib
 from collections.abc import Iterable
@@ -8,19 +8,19 @@
 _CACHED_HASHES = 4096
 
 HASH_VALUES: int = 2 ** (8 * _WORD_BYTES)
-"""Number of values that a stable hash may have."""
+"""Number of possible values of a stable hash."""
 
 
 @lru_cache(maxsize=_CACHED_HASHES)
 def stable_hash(*parts: str) -> int:
-    """Return a 64-bit hash that is the same in every process."""
+    """Return a 64-bit hash that doesn't vary between processes."""
     joined = '\x1f'.join(parts).encode()
     digest = hashlib.blake2b(joined, digest_size=_WORD_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
 def ranked(key: str, members: Iterable[str]) -> list[str]:
-    """Return members by descending rendezvous weight for a key."""
+    """Return the members by descending rendezvous weight for a key."""
     return sorted(
         members,
         key=lambda member: (stable_hash(key, member), member),
@@ -29,5 +29,5 @@
 
 
 def token_hash(token: str) -> str:
-    """Return the hash under which a bearer token is kept, as hex."""
+    """Return the SHA-256 hex digest under which a bearer token is stored."""
     return hashlib.sha256(token.encode()).hexdigest()
--- a/packages/core/src/hitchdeck_core/histograms.py
+++ b/packages/core/src/hitchdeck_core/histograms.py
@@ -1,7 +1,7 @@
-"""HDR histograms per label set, made on first use, dropped when idle.
+"""HDR histograms per label set, with a bounded number of series.
 
-Two digits over 1..10**7 take some 2,800 buckets, about 22 KB; three digits
-would take ten times that, too much for hundreds of accounts in 32 MB.
+Two significant digits over 1..10**7 take about 2,800 buckets, or 22 KB.  Three
+digits would take ten times that, too much for hundreds of accounts in 32 MB.
 """
 
 from collections.abc import Callable, Iterator
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Quantiles of one series; the unit is that of what was recorded."""
+    """Quantiles of a series, in the unit of the recorded amounts."""
 
     name: str
     labels: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 
 class Histograms:
-    """All histograms of a process."""
+    """All histograms of a process; the least recently used series is evicted."""
 
     def __init__(self, now: Callable[[], float], max_series: int = 400) -> None:
         self.now = now
@@ -43,7 +43,7 @@
         self.series: dict[tuple[str, ...], _Series] = {}
 
     def record(self, name: str, labels: tuple[str, ...], amount: float) -> None:
-        """Add one measurement to the series of a name and label values."""
+        """Add a measurement to the series with this name and these label values."""
         series = self.series.get((name, *labels))
         if series is None:
             series = self._add_series((name, *labels))
--- a/packages/core/src/hitchdeck_core/ids.py
+++ b/packages/core/src/hitchdeck_core/ids.py
@@ -1,41 +1,41 @@
-"""Identifiers, each its own type so that one is never passed for another."""
+"""Identifier types, distinct so that the type checker keeps them apart."""
 
 from typing import NewType
 
 BoxName = NewType('BoxName', str)
-"""Name of a box, unique in the fleet; set in the settings file."""
+"""Name of a box, unique in the fleet and set in the settings file."""
 
 ReplicaId = NewType('ReplicaId', str)
-"""Identity of one data folder on one box; a new folder gets a new one."""
+"""Identity of a data folder on a box; a new folder gets a new identity."""
 
 Incarnation = NewType('Incarnation', str)
-"""One life of a process; every start draws a fresh one."""
+"""One run of a process; generated anew at every start."""
 
 AccountName = NewType('AccountName', str)
 PoolName = NewType('PoolName', str)
 UpstreamName = NewType('UpstreamName', str)
 InstanceName = NewType('InstanceName', str)
-"""What an upstream calls itself in its reports, in each of its lives."""
+"""Name by which an upstream reports itself, the same across restarts."""
 
 UpstreamIncarnation = NewType('UpstreamIncarnation', str)
-"""One life of an upstream, from one start to its end."""
+"""One run of an upstream, from its start to its exit."""
 
 SessionName = NewType('SessionName', str)
 
 ShardId = NewType('ShardId', str)
-"""One slice of a pool's upstreams, written ``pool/number``."""
+"""One shard of a pool's upstreams, written ``pool/number``."""
 
 RequestId = NewType('RequestId', str)
 
 TicketId = NewType('TicketId', int)
-"""Number of a ticket within one router life."""
+"""Number of a ticket, unique within one incarnation of a router."""
 
 Address = NewType('Address', str)
-"""``IP:port``; names are not resolved."""
+"""``IP:port``; host names are not resolved."""
 
 
 def shard_id(pool: PoolName, number: int) -> ShardId:
-    """Return the id of one shard of a pool."""
+    """Return the id of a shard."""
     return ShardId(f'{pool}/{number}')
 
 
--- a/packages/core/src/hitchdeck_core/labels.py
+++ b/packages/core/src/hitchdeck_core/labels.py
@@ -1,8 +1,8 @@
-"""Labels and selectors, in the syntax that Kubernetes users know.
+"""Labels and selectors, in the syntax of Kubernetes.
 
-``tier in (gold, silver), region=north, !leaving`` matches labels whose
-``tier`` is one of two, whose ``region`` is ``north`` and that have no
-``leaving`` at all.  As there, ``!=`` and ``notin`` match an absent key too.
+``tier in (gold, silver), region=north, !leaving`` matches labels whose ``tier``
+is one of the two, whose ``region`` is ``north``, and that don't contain the key
+``leaving``.  As in Kubernetes, ``!=`` and ``notin`` also match an absent key.
 """
 
 import re
@@ -25,13 +25,13 @@
 _SET_PATTERN = re.compile(rf'({_KEY})\s+(in|notin)\s*\(([^()]*)\)')
 _EQUALITY_PATTERN = re.compile(rf'({_KEY})\s*(==|=|!=)\s*({_NAME}|)')
 _PRESENCE_PATTERN = re.compile(rf'(!?)\s*({_KEY})')
-# A comma inside parentheses belongs to a set, not between requirements.
+# A comma inside parentheses separates set members, not requirements.
 _SEPARATOR = re.compile(r',(?![^(]*\))')
 _CACHED_SELECTORS = 4096
 
 
 class Operator(Enum):
-    """How a requirement looks at one label."""
+    """Operator of a requirement."""
 
     one_of = 'in'
     none_of = 'notin'
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One condition on one label key."""
+    """A condition on one label key."""
 
     key: str
     operator: Operator
     choices: frozenset[str] = frozenset()
 
     def matches(self, labels: Labels) -> bool:
-        """Tell whether the labels meet this condition."""
+        """Return whether the labels meet this condition."""
         if self.operator is Operator.present:
             return self.key in labels
         if self.operator is Operator.absent:
@@ -59,17 +59,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Conditions that must all hold; an empty selector matches everything."""
+    """Conditions that must all hold; without any, everything matches."""
 
     requirements: tuple[Requirement, ...]
 
     def matches(self, labels: Labels) -> bool:
-        """Tell whether the labels meet every condition."""
+        """Return whether the labels meet all conditions."""
         return all(one.matches(labels) for one in self.requirements)
 
 
 def check_labels(labels: Labels) -> Labels:
-    """Return the labels, or raise ``SelectorError`` naming the bad one."""
+    """Return the labels, or raise ``SelectorError`` naming the invalid one."""
     for key, text in labels.items():
         _check_key(key)
         _check_value(key, text)
@@ -83,12 +83,12 @@
     Parameters
     ----------
     text
-        Comma-separated requirements; blank matches everything.
+        Comma-separated requirements; blank text matches everything.
 
     Returns
     -------
     Result
-        The selector, or the error that names the offending requirement.
+        The selector, or an error that names the invalid requirement.
     """
     if not text.strip():
         return Ok(Selector(()))
@@ -139,9 +139,9 @@
 def _check_key(key: str) -> None:
     _, _, name = key.rpartition('/')
     if not _KEY_PATTERN.fullmatch(key) or len(name) > _MAX_NAME_LENGTH:
-        raise SelectorError(f'label key {key!r} is not a label key')
+        raise SelectorError(f'invalid label key {key!r}')
 
 
 def _check_value(key: str, text: str) -> None:
     if not _VALUE_PATTERN.fullmatch(text) or len(text) > _MAX_NAME_LENGTH:
-        raise SelectorError(f'label {key!r} has a bad value: {text!r}')
+        raise SelectorError(f'label {key!r} has an invalid value: {text!r}')
--- a/packages/core/src/hitchdeck_core/log_output.py
+++ b/packages/core/src/hitchdeck_core/log_output.py
@@ -1,7 +1,7 @@
-"""Where log lines go when their reader may be slow: never waited for.
+"""Non-blocking log output for readers that may be slow.
 
-A full pipe or a flood of lines costs lines, which are counted and told of,
-and never a request.
+When the pipe is full or too many lines are logged, lines are dropped and counted,
+and the count is logged.  Logging never delays a request.
 """
 
 import json
@@ -10,22 +10,22 @@
 from collections.abc import Callable
 
 LINES_PER_SECOND = 300
-"""Steady rate: about ten lines for each request that a small box serves."""
+"""Sustained rate: about ten lines for each request that a small box serves."""
 
 BURST_LINES = 1500
-"""Lines at once, after quiet seconds."""
+"""Lines that may be logged at once when few were logged before."""
 
 MAX_BUFFERED_BYTES = 262_144
-"""Lines that wait for a slow reader, in bytes."""
+"""Limit of the buffer for a slow reader."""
 
 
 class BoundedOutput:
-    """A text stream over a file descriptor that never blocks its writer.
+    """A rate-limited text stream to a file descriptor that never blocks.
 
     Attributes
     ----------
     dropped
-        Lines lost since the last line that told of such.
+        Lines dropped since the number of dropped lines was last logged.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Take one line, or count it as dropped."""
+        """Buffer a line, or count it as dropped."""
         self._refill()
         if self.allowance < 1 or len(self.buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
@@ -55,7 +55,7 @@
         self.buffer += text.encode()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the reader accepts now."""
         if not self.buffer:
             return
         try:
@@ -63,12 +63,12 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone; there is nobody left to tell.
+            # The reader has closed the pipe; discard the buffer.
             written = len(self.buffer)
         self.buffer = self.buffer[written:]
 
     def close(self) -> None:
-        """Write what the reader takes; the descriptor is not this object's."""
+        """Flush; the descriptor stays open, since the caller owns it."""
         self.flush()
 
     def _refill(self) -> None:
--- a/packages/core/src/hitchdeck_core/logs.py
+++ b/packages/core/src/hitchdeck_core/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, through ``absl.logging``."""
+"""Logging of one JSON object per line, through ``absl.logging``."""
 
 import json
 import logging as standard_logging
@@ -14,10 +14,10 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Turns a record into one line of JSON."""
+    """Formats a record as one line of JSON."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return time, level, event and the fields of the record."""
+        """Return a line with time, level, event and the fields of the record."""
         line = {
             'time': time.strftime(
                 '%Y-%m-%dT%H:%M:%S',
@@ -34,7 +34,7 @@
 
 
 class _Context:
-    """Fields that every line of this process carries."""
+    """Fields that are added to every line of this process."""
 
     def __init__(self) -> None:
         self.fields: dict[str, object] = {}
@@ -44,9 +44,9 @@
 
 
 def set_up(**fields: object) -> None:
-    """Send every log line to standard error, each with the given fields."""
+    """Log to standard error, with the given fields in every line."""
     _context.fields = fields
-    # Without this, absl says at each start that no flags were parsed.
+    # Without this, absl warns at startup that no flags were parsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     handler = logging.get_absl_handler()
@@ -56,7 +56,7 @@
 
 
 def set_up_stdout(**fields: object) -> None:
-    """Send every log line to standard output, never waiting for its reader."""
+    """Log to standard output without blocking on its reader."""
     set_up(**fields)
     logging.set_stderrthreshold('fatal')
     flags.FLAGS['logtostderr'].value = False
@@ -65,7 +65,7 @@
 
 
 def silence() -> None:
-    """Drop every line: for programs whose output is something else."""
+    """Disable logging, for programs whose output is something else."""
     logging.set_verbosity(logging.FATAL)
     logging.get_absl_logger().setLevel(standard_logging.CRITICAL)
 
@@ -85,15 +85,15 @@
 
 
 def info(event: str, **fields: object) -> None:
-    """Log something that an operator may want to follow."""
+    """Log an event that is of interest to an operator."""
     _log(standard_logging.INFO, event, fields)
 
 
 def warning(event: str, **fields: object) -> None:
-    """Log something that an operator should look at."""
+    """Log an event that an operator should investigate."""
     _log(standard_logging.WARNING, event, fields)
 
 
 def failure(event: str, error: BaseException, **fields: object) -> None:
-    """Log an error with its trace."""
+    """Log an error with its traceback."""
     _log(standard_logging.ERROR, event, fields, error)
--- a/packages/core/src/hitchdeck_core/loop_load.py
+++ b/packages/core/src/hitchdeck_core/loop_load.py
@@ -1,8 +1,8 @@
-"""The processes' event loop: how busy it is, and what its timers go by.
+"""An event loop that measures its utilization and has suspension-proof timers.
 
-Where a box has a share of a processor, work takes as long as the share makes it
-take, so the time that the loop does not wait tells how much of the share is
-used, whatever its size.
+A box may be limited to a fraction of a processor, which stretches the time that
+work takes.  The fraction of time in which the loop doesn't wait for events
+therefore shows how much of that limit is used, whatever the limit is.
 """
 
 import asyncio
@@ -14,41 +14,44 @@
 from hitchdeck_core.clock import boot_clock
 
 SMOOTHING_SECONDS = 1.0
-"""Span over which the part is smoothed: callers keep addresses for some seconds,
-and a single slow request is no load."""
+"""Time constant of the utilization average: callers cache addresses for some
+seconds, and a single slow request must not count as load."""
 
 PERCENT = 100
-"""Messages tell the part in hundredths."""
+"""Messages carry utilization in hundredths."""
 
 MAX_POLL_SECONDS = 0.25
-"""Longest wait for an event.  A wait goes by the steady clock, and what is due by
-the other one must not be half a second late after a suspension."""
+"""Limit of one wait for events.  The wait is timed by the monotonic clock, while
+timers use the boot clock; without the limit, timers that became due during a
+suspension would fire half a second late."""
 
 LAG_SECONDS = 0.5
-"""Span over which the lag is smoothed."""
+"""Time constant of the lag average."""
 
 MAX_COUNTED_TURN_SECONDS = 0.5
-"""Cap on one turn in the lag, so that a suspension is soon forgotten."""
+"""Limit of one turn in the lag, so that a suspension has little lasting effect."""
 
 MIN_SPAN_SECONDS = 0.2
-"""Shorter spans are not measured by themselves."""
+"""Minimum span of one utilization measurement."""
 
 
 class LoopLoad:
-    """Part of the time that was not spent waiting, smoothed.
+    """Utilization and lag of an event loop.
+
+    A turn is the time between two polls of the sockets, in which callbacks run.
 
     Attributes
     ----------
     longest_turn
-        Longest time since it was last taken in which the loop looked at no
-        socket, in seconds: whatever came meanwhile is known so much later.
+        Longest turn since this was last read, in seconds.  Events that arrive
+        during a turn are noticed only at its end.
     lag
-        Mean length of a turn of the loop in seconds, each weighted by its length:
-        how long an event that comes at any moment waits for the turn to end.
+        Mean turn in seconds, weighted by length: the expected time for which an
+        event that arrives at a random moment waits for the turn to end.
     """
 
     def __init__(self, now: Callable[[], float] = monotonic) -> None:
-        # The steady clock: asleep a process neither works nor waits.
+        # The monotonic clock: a suspension counts neither as work nor as waiting.
         self.now = now
         self.waited = 0.0
         self.measured_at = now()
@@ -58,7 +61,7 @@
         self.lag = 0.0
 
     def begin_poll(self) -> float:
-        """Note that the loop looks at its sockets; return when."""
+        """Record the start of a poll and return its time."""
         now = self.now()
         turn = now - self.turn_started_at
         self.longest_turn = max(self.longest_turn, turn)
@@ -67,7 +70,7 @@
         return now
 
     def end_poll(self, began: float) -> None:
-        """Note that the loop goes on after a wait."""
+        """Record the end of a poll that waited."""
         self.turn_started_at = self.now()
         waited = self.turn_started_at - began
         self.waited += waited
@@ -80,7 +83,7 @@
         return longest
 
     def utilization(self) -> float:
-        """Return the part, from 0 (idle) to 1."""
+        """Return the smoothed utilization, from 0 (idle) to 1."""
         span = self.now() - self.measured_at
         if span < MIN_SPAN_SECONDS:
             return self.smoothed_utilization
@@ -97,7 +100,7 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Selects as any, and notes how long it waited."""
+    """Default selector that reports how long it waited."""
 
     def __init__(self, load: LoopLoad) -> None:
         super().__init__()
@@ -107,7 +110,7 @@
         self,
         timeout: float | None = None,
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events, and not for long: no suspension ends a wait."""
+        """Wait for events, up to a limit, since a suspension doesn't end a wait."""
         began = self.load.begin_poll()
         wait = MAX_POLL_SECONDS
         if timeout is not None:
@@ -119,25 +122,25 @@
 
 
 class MeteredLoop(asyncio.SelectorEventLoop):
-    """An event loop that knows how busy it is, with timers since boot."""
+    """An event loop that measures its load and times its timers by the boot clock."""
 
     def __init__(self) -> None:
         self.load = LoopLoad()
-        # What timers go by: the time of a suspended machine passes too.  On the
-        # steady clock a request whose time was over was held for as long again.
-        # Called three times a turn, so without a Python frame of its own.
+        # Timers use the boot clock, which includes suspensions.  With the monotonic
+        # clock, a request whose deadline had passed was held for as long again.
+        # It is called three times a turn, so it has no Python frame of its own.
         self.time = boot_clock()  # type: ignore[method-assign]
         super().__init__(_Selector(self.load))
 
 
 def loop_utilization() -> float:
-    """Return how busy the running loop is, 0 if it does not know."""
+    """Return the running loop's utilization, 0 if it is not metered."""
     meter = _running_meter()
     return 0 if meter is None else meter.utilization()
 
 
 def loop_lag() -> float:
-    """Return the running loop's lag in seconds, 0 if it does not know."""
+    """Return the running loop's lag in seconds, 0 if it is not metered."""
     meter = _running_meter()
     return 0 if meter is None else meter.lag
 
@@ -152,6 +155,6 @@
     try:
         loop = asyncio.get_running_loop()
     except RuntimeError:
-        # What is played in virtual time has no loop, and no load of its own.
+        # Simulations in virtual time run without a loop and have no load.
         return None
     return loop.load if isinstance(loop, MeteredLoop) else None
--- a/packages/core/src/hitchdeck_core/outcomes.py
+++ b/packages/core/src/hitchdeck_core/outcomes.py
@@ -1,7 +1,7 @@
-"""What the control group answers to commands.
+"""Outcomes of commands to the control group.
 
-Apart from the commands, whose codecs take a tenth of a second to build: a
-process that only passes outcomes on starts without them.
+Kept in a module apart from the commands, whose codecs take 0.1 s to build, so
+that a process which only forwards outcomes doesn't spend that time at startup.
 """
 
 from typing import Annotated, Literal
@@ -12,20 +12,20 @@
 
 
 class Message(BaseModel):
-    """Base of commands and outcomes: immutable and closed."""
+    """Base of commands, queries and outcomes: immutable, without extra fields."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
 class Applied(Message):
-    """The command took effect; ``version`` is the configuration after it."""
+    """The command was applied; ``version`` is the resulting configuration version."""
 
     result: Literal['applied'] = 'applied'
     version: int
 
 
 class Refused(Message):
-    """The command had no effect."""
+    """The command was rejected and had no effect."""
 
     result: Literal['refused'] = 'refused'
     code: Literal[
@@ -41,13 +41,13 @@
 
 
 class Granted(Message):
-    """The claim is the router's: it may dispatch once, now."""
+    """The router holds the claim and may dispatch the request once, now."""
 
     result: Literal['granted'] = 'granted'
 
 
 class Settled(Message):
-    """The request ran earlier; this is what is kept of its answer."""
+    """The request was executed earlier; this is its stored response."""
 
     result: Literal['settled'] = 'settled'
     ran: str
@@ -57,7 +57,7 @@
 
 
 class Pending(Message):
-    """Another router life holds the claim and has not said how it ended."""
+    """Another router incarnation holds the claim and has reported no outcome."""
 
     result: Literal['pending'] = 'pending'
     router: str
--- a/packages/core/src/hitchdeck_core/queries.py
+++ b/packages/core/src/hitchdeck_core/queries.py
@@ -1,4 +1,4 @@
-"""Questions to the control group's leader, and its answers."""
+"""Queries to the control group's leader, and their replies."""
 
 from typing import Annotated, Literal
 
@@ -9,7 +9,7 @@
 
 
 class ListResources(Message):
-    """Ask for resources, all or of one kind, or the one of that name."""
+    """Query resources, optionally filtered by kind and name."""
 
     ask: Literal['resources'] = 'resources'
     kind: str = ''
@@ -17,13 +17,13 @@
 
 
 class GetStatus(Message):
-    """Ask how the fleet stands."""
+    """Query the status of the fleet."""
 
     ask: Literal['status'] = 'status'
 
 
 class WaitInForce(Message):
-    """Wait until a version is in force everywhere, or seconds have passed."""
+    """Wait until all routers apply a version, or until a timeout in seconds."""
 
     ask: Literal['in-force'] = 'in-force'
     version: int
@@ -31,7 +31,7 @@
 
 
 class ListOrders(Message):
-    """Ask for the orders to upstreams."""
+    """Query the orders to upstreams."""
 
     ask: Literal['orders'] = 'orders'
 
@@ -43,7 +43,7 @@
 
 
 class StoredResource(Message):
-    """A resource and the version that last wrote it."""
+    """A resource and the configuration version that last wrote it."""
 
     resource: Resource
     version: int
@@ -57,14 +57,14 @@
 
 
 class InForce(Message):
-    """Whether a version is in force, and which routers it waits for."""
+    """Whether a version is in force, and the routers that don't apply it yet."""
 
     in_force: bool
     laggards: tuple[str, ...]
 
 
 class MemberStatus(Message):
-    """One replica of the control group; ``match`` is its last synced entry."""
+    """A replica of the control group; ``match`` is its last synced index."""
 
     box: str
     replica: str
@@ -75,7 +75,7 @@
 
 
 class RouterStatus(Message):
-    """One router; ``lease_left`` is in seconds."""
+    """A router; ``lease_left`` is in seconds."""
 
     router: str
     domain: str
@@ -87,7 +87,7 @@
 
 
 class ShardStatus(Message):
-    """Who schedules a shard."""
+    """The router that schedules a shard, with its epoch."""
 
     shard: str
     router: str
@@ -95,14 +95,14 @@
 
 
 class AccountUsage(Message):
-    """Cost units that one account has used, over the whole fleet."""
+    """Cost units that an account has used in the whole fleet."""
 
     account: str
     cost: float
 
 
 class Status(Message):
-    """How the fleet stands."""
+    """Status of the control group, the routers and the shards."""
 
     leader: str
     term: int
@@ -115,7 +115,7 @@
 
 
 class OrderStatus(Message):
-    """One order to an upstream."""
+    """An order to an upstream and its state."""
 
     sequence: int
     upstream: str
@@ -126,7 +126,7 @@
 
 
 class OrderList(Message):
-    """Orders, oldest first."""
+    """Orders, the oldest first."""
 
     orders: tuple[OrderStatus, ...]
 
--- a/packages/core/src/hitchdeck_core/resources.py
+++ b/packages/core/src/hitchdeck_core/resources.py
@@ -1,4 +1,4 @@
-"""Resources that operators define; the same shape in TOML, log and wire."""
+"""Resources that operators define, with one schema for TOML, log and wire."""
 
 from enum import Enum, IntEnum
 from typing import Annotated, Any, Literal, Self
@@ -29,14 +29,14 @@
 
 
 class PoolKind(Enum):
-    """What the upstreams of a pool are."""
+    """Type of the upstreams in a pool."""
 
     model = 'model'
     service = 'service'
 
 
 class Urgency(IntEnum):
-    """How soon work is needed; the smaller is served first."""
+    """Priority of requests; lower values are served first."""
 
     urgent = 0
     normal = 1
@@ -44,7 +44,7 @@
 
 
 class Effect(Enum):
-    """What a rule says about whatever its selectors match."""
+    """Effect of a rule on the objects that its selectors match."""
 
     access = 'access'
     leaving = 'leaving'
@@ -73,7 +73,7 @@
 
 
 class Definition(BaseModel):
-    """What all resources have: a name and labels."""
+    """Base of all resources: a name and labels."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
@@ -81,15 +81,15 @@
     labels: LabelMap = Field(default_factory=dict)
 
     def all_labels(self) -> dict[str, str]:
-        """Return the labels with the resource's own name as ``name``."""
+        """Return the labels, with the resource's name added under ``name``."""
         return {'name': self.name, **self.labels}
 
 
 class Account(Definition):
     """A client account.
 
-    ``weight`` is its share against the others; ``key_hashes`` are the
-    SHA-256 hex digests of its bearer tokens, which are never kept.
+    ``weight`` is its share relative to other accounts; ``key_hashes`` are the
+    SHA-256 hex digests of its bearer tokens, which are not stored themselves.
     """
 
     kind: Literal['account'] = 'account'
@@ -98,12 +98,12 @@
 
 
 class Pool(Definition):
-    """Upstreams that serve the same thing.
+    """A set of interchangeable upstreams.
 
-    ``urgent_overcommit`` is how many urgent requests an upstream may get
-    above its slots; ``queue_limit`` bounds each account's waiting requests
-    in each shard; a pool that is not ``repeatable`` takes no request but
-    reads without an idempotency key.
+    ``urgent_overcommit`` is the number of urgent requests that an upstream may
+    run above its slots; ``queue_limit`` bounds the queued requests of each
+    account in each shard; a pool that is not ``repeatable`` accepts only reads
+    without an idempotency key.
     """
 
     kind: Literal['pool'] = 'pool'
@@ -126,7 +126,7 @@
 
 
 class Session(Definition):
-    """A long-lived conversation of one account in one pool."""
+    """A long-lived conversation of an account in a pool."""
 
     kind: Literal['session'] = 'session'
     account: Name
@@ -134,11 +134,11 @@
 
 
 class Rule(Definition):
-    """A statement about everything that its selectors match.
+    """A policy that applies to all objects matched by its selectors.
 
-    ``access`` lets matching accounts reach matching pools; ``leaving`` takes
-    matching upstreams, or entry boxes, out of service; ``urgent`` and
-    ``deferrable`` say how soon requests with matching labels are needed.
+    ``access`` gives matching accounts access to matching pools; ``leaving``
+    drains matching upstreams or entry boxes; ``urgent`` and ``deferrable`` set
+    the priority of requests with matching labels.
     """
 
     kind: Literal['rule'] = 'rule'
@@ -150,9 +150,10 @@
     requests: SelectorText = ''
 
     def check_complete(self) -> Self:
-        """Return the rule, or raise ``ResourceError`` if it says nothing.
+        """Return the rule, or raise ``ResourceError`` if a selector is missing.
 
-        A leaving rule without a selector would drain the whole fleet.
+        An empty selector matches everything, so a leaving rule without one would
+        drain the whole fleet.
         """
         selects = self.upstreams.strip() or self.boxes.strip()
         if self.effect is Effect.leaving and not selects:
@@ -169,7 +170,7 @@
 _ADAPTER: TypeAdapter[Resource] = TypeAdapter(Resource)
 
 ResourceKey = tuple[str, str]
-"""Kind and name of a resource."""
+"""Kind and name of a resource, which identify it."""
 
 UpstreamMap = dict[UpstreamName, Upstream]
 AccountMap = dict[AccountName, Account]
@@ -177,17 +178,17 @@
 
 
 def key_of(resource: Resource) -> ResourceKey:
-    """Return the kind and name under which a resource is kept."""
+    """Return the key under which a resource is stored."""
     return resource.kind, resource.name
 
 
 def parse_resource(source: bytes | str | dict[str, Any]) -> Resource:
-    """Return the checked resource, or raise ``ResourceError`` saying why not.
+    """Return the validated resource, or raise ``ResourceError``.
 
     Parameters
     ----------
     source
-        JSON text, or a mapping as read from TOML.
+        JSON text, or a mapping parsed from TOML.
     """
     try:
         if isinstance(source, dict):
@@ -202,12 +203,12 @@
 
 
 def encode_resource(resource: Resource) -> bytes:
-    """Return the resource as JSON."""
+    """Encode the resource as JSON."""
     return _ADAPTER.dump_json(resource)
 
 
 def explain(error: ValidationError) -> str:
-    """Return one line naming each key, what it was, and what it should be."""
+    """Format validation errors in one line: path, message and rejected input."""
     return '; '.join(
         '{where}: {what} (given: {given!r})'.format(
             where='.'.join(str(step) for step in one['loc']) or 'top level',
--- a/packages/core/src/hitchdeck_core/settings.py
+++ b/packages/core/src/hitchdeck_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: a TOML file, checked before anything starts."""
+"""Settings of a process: a TOML file that is validated before startup."""
 
 import tomllib
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class Role(Enum):
-    """What a process does."""
+    """Role of a process."""
 
     control = 'control'
     router = 'router'
@@ -26,9 +26,10 @@
 class ControlSection(Section):
     """The ``[control]`` table: a replica of the control group.
 
-    Times are in seconds; ``snapshot_every`` counts log entries;
-    ``ledger_retention`` is how long a non-repeatable key is remembered;
-    ``weight_store_rate`` is what the weight store gives, in bytes a second.
+    Times are in seconds; ``snapshot_every`` is in log entries;
+    ``ledger_retention`` is how long the idempotency keys of non-repeatable requests
+    are kept; ``weight_store_rate`` is the throughput of the store that upstreams
+    load model weights from, in bytes per second.
     """
 
     listen: AddressText
@@ -43,7 +44,7 @@
 
     @model_validator(mode='after')
     def check_times(self) -> Self:
-        """Refuse timeouts under which a healthy leader would lose office."""
+        """Reject timeouts with which a healthy leader could be deposed."""
         if self.election_timeout < 3 * self.heartbeat:
             raise ValueError('election_timeout must be >= 3 heartbeats')
         return self
@@ -52,9 +53,9 @@
 class RouterSection(Section):
     """The ``[router]`` table: an entry box.
 
-    ``address_ttl`` and ``stop_grace`` are in seconds: how long callers may
-    keep an answer of ``/v1/addresses``, and the longest a planned stop may
-    wait for streams after that.
+    Times are in seconds: ``address_ttl`` is how long callers may cache a response
+    of ``/v1/addresses``, and ``stop_grace`` limits how long a graceful shutdown
+    waits for open streams after that.
     """
 
     listen: AddressText
@@ -68,7 +69,7 @@
 
 
 class Settings(Section):
-    """The whole file."""
+    """All settings of a process."""
 
     box: Name
     domain: Name
@@ -79,7 +80,7 @@
 
     @model_validator(mode='after')
     def check_roles(self) -> Self:
-        """Refuse a role without its table, and a table without its role."""
+        """Reject a role without its table, and a table without its role."""
         if len(set(self.roles)) < len(self.roles):
             raise ValueError('a role is listed twice')
         tables = {Role.control: self.control, Role.router: self.router}
@@ -92,7 +93,7 @@
 
     @model_validator(mode='after')
     def check_addresses(self) -> Self:
-        """Refuse one address for two listeners."""
+        """Reject an address that is used by two listeners."""
         listeners = [table.listen for table in (self.control, self.router) if table]
         if self.router:
             listeners.append(self.router.wire_listen)
@@ -102,7 +103,7 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Return checked settings, or raise ``SettingsError`` naming the file."""
+    """Return validated settings, or raise ``SettingsError`` naming the file."""
     try:
         content = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -111,7 +112,7 @@
 
 
 def parse_settings(content: dict[str, Any], origin: str) -> Settings:
-    """Return checked settings from a mapping read out of ``origin``."""
+    """Return validated settings from a mapping; errors name its ``origin``."""
     try:
         return Settings.model_validate(content)
     except ValidationError as error:
--- a/packages/core/src/hitchdeck_core/signals.py
+++ b/packages/core/src/hitchdeck_core/signals.py
@@ -1,15 +1,15 @@
-"""A broadcast that tasks wait for: "something changed, look again"."""
+"""A notification that wakes all waiting tasks to check for changes."""
 
 import asyncio
 
 
 class Signal:
-    """Wakes every task that waits at the moment of a notification.
+    """Wakes every task that is waiting at the time of a notification.
 
-    An ``asyncio.Event`` would have to be cleared by one of many waiters, and
-    whoever clears it first hides it from the others.
+    An ``asyncio.Event`` would have to be cleared by one of its waiters, which
+    could hide the notification from the others.
 
-    ``count`` is how many notifications there were.
+    ``count`` is the number of notifications so far.
     """
 
     def __init__(self) -> None:
@@ -17,21 +17,20 @@
         self.count = 0
 
     def notify(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         self.count += 1
         waiters, self.waiters = self.waiters, set()
         for waiter in waiters:
             _resolve(waiter, notified=True)
 
     async def wait(self, seconds: float | None = None) -> bool:
-        """Wait for the next notification; ``False`` if time ran out first."""
+        """Wait for the next notification; return ``False`` on timeout."""
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[bool] = loop.create_future()
         self.waiters.add(waiter)
         if seconds is None:
             return await waiter
-        # Lighter than ``asyncio.wait`` with a timeout, and this runs for
-        # every ticket.
+        # Cheaper than ``asyncio.wait`` with a timeout; this runs for every ticket.
         timer = loop.call_later(seconds, _resolve, waiter, False)
         try:
             return await waiter
--- a/packages/core/src/hitchdeck_core/sockets.py
+++ b/packages/core/src/hitchdeck_core/sockets.py
@@ -1,24 +1,24 @@
-"""Sockets on which a peer that went silent without a word is noticed."""
+"""Sockets that detect peers which disappear without closing the connection."""
 
 import select
 import socket
 
 KEEPALIVE_SECONDS = 1
-"""Idle time before, and time between, probes of a connection."""
+"""Idle time before the first keepalive probe, and interval between probes."""
 
 KEEPALIVE_PROBES = 3
-"""Unanswered probes after which a connection is dead."""
+"""Unanswered probes after which the kernel drops a connection."""
 
 USER_TIMEOUT_MS = 3000
-"""Sent bytes that stay unacknowledged so long end a connection, in ms."""
+"""Time after which unacknowledged data ends a connection, in milliseconds."""
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted: callers come in bursts, and one
-that finds no room tries again only after a second."""
+"""Connections that may wait to be accepted: callers connect in bursts, and a SYN
+that is dropped from a full backlog is retransmitted only after a second."""
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Make the kernel notice a peer that is gone; a listener's are inherited."""
+    """Enable keepalive probes; accepted connections inherit it from the listener."""
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS),
@@ -32,7 +32,7 @@
 
 
 def listening_socket(host: str, port: int) -> socket.socket:
-    """Return a listening socket whose connections are probed."""
+    """Return a listening socket whose connections have keepalive enabled."""
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
     sock = socket.create_server((host, port), family=family, backlog=BACKLOG)
     sock.setblocking(False)
@@ -41,17 +41,17 @@
 
 
 def has_unread_input(descriptor: int) -> bool:
-    """Tell whether bytes or a close wait to be read, at this moment."""
+    """Return whether data or the end of the stream can be read now."""
     poller = select.poll()
     poller.register(descriptor, select.POLLIN)
     return bool(poller.poll(0))
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Tell whether a peer has closed, by what the kernel holds at this moment.
+    """Return whether the peer has closed the connection, according to the kernel.
 
-    An event loop tells it only at its next turn.  Bytes that are not read yet
-    hide a close behind them.
+    An event loop would notice it only in its next turn.  A close that follows
+    unread data is not detected.
     """
     if not has_unread_input(sock.fileno()):
         return False
@@ -60,5 +60,5 @@
     except BlockingIOError:
         return False
     except OSError:
-        # A reset, or a socket that is closed here already: nobody is there.
+        # Reset by the peer, or already closed locally.
         return True
--- a/packages/core/src/hitchdeck_core/supervisor.py
+++ b/packages/core/src/hitchdeck_core/supervisor.py
@@ -1,11 +1,10 @@
-"""A supervisor tree: tasks that are restarted, and stopped as one.
-
-A supervisor owns named children.  A permanent child that fails is started
-again after a growing pause; a temporary one (a connection) just ends.
-Errors named as fatal are not mended by a restart (a disk that failed): they
-end the process, through ``wait_for_failure``.
-Stopping a supervisor cancels its children in reverse order of their start,
-and waits for each.
+"""Supervision of tasks: restart after failures, and joint shutdown.
+
+A supervisor owns named child tasks.  A permanent child that fails is restarted
+with exponential backoff; a temporary one, such as a connection, is not.  Errors
+declared as fatal can't be resolved by a restart (for example a failed disk): they
+are raised by ``wait_for_failure`` and end the process.  Stopping a supervisor
+cancels its children in reverse order of their start and waits for each.
 """
 
 import asyncio
@@ -21,7 +20,7 @@
 
 
 class Supervisor:
-    """Owner of a group of tasks."""
+    """Owner of a group of child tasks."""
 
     def __init__(
         self,
@@ -36,11 +35,11 @@
         self.stopping = False
 
     def permanent(self, name: str, work: TaskFunction) -> None:
-        """Run work for ever, again after each failure."""
+        """Run work in a loop until stopped, with backoff after failures."""
         self._start(name, self._keep_running(name, work))
 
     def temporary(self, name: str, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine once; a failure is logged and goes no further."""
+        """Run a coroutine once; a failure is logged and not propagated."""
         self.counter += 1
         self._start(f'{name}-{self.counter}', self._run_once(name, coroutine))
 
@@ -51,14 +50,14 @@
             task.cancel()
 
     async def stop(self) -> None:
-        """Cancel every child, the newest first, and wait for each."""
+        """Cancel all children, the newest first, and wait for each."""
         self.stopping = True
         for task in reversed(list(self.tasks.values())):
             task.cancel()
             await asyncio.wait([task])
 
     async def wait_for_failure(self) -> None:
-        """Wait until a child fails for good, and raise what it raised."""
+        """Wait until a child raises a fatal error, and raise it."""
         if self.failed is None:
             self.failed = asyncio.get_running_loop().create_future()
         await self.failed
@@ -97,7 +96,7 @@
                 self._fail(error)
                 return
             except Exception as error:
-                logs.failure('task restarts', error, task=f'{self.name}.{name}')
+                logs.failure('restarting task', error, task=f'{self.name}.{name}')
                 backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
             else:
                 backoff = _INITIAL_BACKOFF_SECONDS
