--- a/packages/control/src/hitchdeck_control/fleet/__init__.py
+++ b/packages/control/src/hitchdeck_control/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's side of the fleet: routers, leases, duties, usage, orders."""
+"""The leader's view of the fleet: routers, leases, shards, usage and orders."""
--- a/packages/control/src/hitchdeck_control/fleet/assignments.py
+++ b/packages/control/src/hitchdeck_control/fleet/assignments.py
@@ -1,7 +1,7 @@
-"""Which router schedules which shard.
+"""Assignment of shards to the routers that schedule them.
 
-A duty moves only when its holder is gone or leaves: a move costs the shard a
-rebuild, so a better candidate alone is no reason.
+A shard is reassigned only when its router is lost or draining.  A better candidate
+is not a sufficient reason, since the new scheduler must rebuild the shard's state.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,14 +26,14 @@
     state: MachineState,
     alive: Iterable[Presence],
 ) -> list[AssignShard]:
-    """Return the assignments that shards without a good holder need."""
+    """Return assignments for all shards whose router is lost or draining."""
     present = list(alive)
     candidates = {
         one.hello.router: one
         for one in present
         if not one.leaving and one.disconnected_at is None
     }
-    # A holder whose connection broke a moment ago keeps its assignment.
+    # A router that was disconnected a moment ago keeps its shards.
     holders = {one.hello.incarnation for one in present if not one.leaving}
     assignments = []
     for shard in shards_of(state):
--- a/packages/control/src/hitchdeck_control/fleet/deltas.py
+++ b/packages/control/src/hitchdeck_control/fleet/deltas.py
@@ -1,4 +1,4 @@
-"""Configuration changes as routers receive them."""
+"""Configuration deltas for routers."""
 
 from hitchdeck_control.machine.configuration import changes_since
 from hitchdeck_control.machine.state_machine import StateMachine
@@ -7,11 +7,11 @@
 
 
 class DeltaCache:
-    """Deltas to the present version, made once for all routers.
+    """Cache of the deltas to the current version, shared by all routers.
 
-    After a change every router needs the same one, and after a leader's loss
-    many need everything: made anew for each, that would keep a leader of
-    12,000 upstreams busy for longer than its lease.
+    After a change all routers need the same delta, and after the loss of a leader
+    many need the full configuration.  With 12,000 upstreams, building it for each
+    router would take the leader longer than its lease.
     """
 
     def __init__(self, machine: StateMachine) -> None:
@@ -20,7 +20,7 @@
         self.by_base_version: dict[int, Delta] = {}
 
     def since(self, version: int) -> Delta:
-        """Return what a router at a version lacks."""
+        """Return the delta from a version to the current one."""
         if self.version != self.machine.state.version:
             self.version = self.machine.state.version
             self.by_base_version.clear()
@@ -30,7 +30,7 @@
 
 
 def build_delta(machine: StateMachine, version: int) -> Delta:
-    """Return what a router at a version lacks, all of it if need be."""
+    """Build the delta from a version, or a full one if changes are missing."""
     state = machine.state
     changes = changes_since(state, version) if version else None
     if changes is None:
--- a/packages/control/src/hitchdeck_control/fleet/directory.py
+++ b/packages/control/src/hitchdeck_control/fleet/directory.py
@@ -1,8 +1,8 @@
-"""The directory of routers and shard holders, and what changed in it.
+"""The directory of routers and shard schedulers, and differences between its states.
 
-Every router gets every change, so what is sent is the difference to what
-that router has: the whole of it for each restart of each of hundreds of
-routers would be most of all control traffic.
+Every router gets every change, as the difference to the state that it already has.
+With hundreds of routers, sending the full directory after each restart would make
+up most of the control traffic.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryState:
-    """One state of the directory; a later one has a higher number."""
+    """A state of the directory; later states have higher numbers."""
 
     number: int = 0
     routers: dict[str, RouterEntry] = field(default_factory=dict)
@@ -21,7 +21,7 @@
 
 
 def difference(old: DirectoryState | None, new: DirectoryState) -> Directory:
-    """Return what turns one state into another; all of it if there is none."""
+    """Return the changes between two states, or all of the new one."""
     previous = old or DirectoryState()
     return Directory(
         full=old is None,
--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -1,4 +1,4 @@
-"""What the leader keeps and does for the fleet."""
+"""Soft state and tasks of the leader."""
 
 import hashlib
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 
 _ASSIGNMENT_PERIOD_SECONDS = 0.2
 _CLOCK_DRIFT_FACTOR = 1.05
-"""Factor on lease waits for clocks that run at different rates."""
+"""Allowance for clocks that run at different rates, in waits for leases."""
 
 
 class Leader:
-    """The leader's soft state; all but verdicts is new with each leadership."""
+    """The leader's soft state, reset for each leadership except for verdicts."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         self.routers = RouterTable(now, lease_seconds)
         self.usage = UsageTable()
         self.directory = DirectoryState()
-        # Kept from one leadership to the next: it binds whoever leads.
+        # Kept across leaderships, since verdicts apply whoever leads.
         self.quarantine = Quarantine(now, machine.version_changed)
 
     def check_leads(self) -> None:
-        """Raise ``NotLeaderError`` unless this replica surely leads now."""
+        """Raise ``NotLeaderError`` unless this replica certainly leads now."""
         self.replica.check_leads()
         if self.replica.leadership is not self.observed_leadership:
             self.observed_leadership = self.replica.leadership
@@ -69,9 +69,9 @@
         Raises
         ------
         NotLeaderError
-            Nothing was done; ask the leader.
+            The command was not accepted; send it to the leader.
         OutcomeUnknownError
-            It may or may not take effect; resend under the same number.
+            It may or may not take effect; retry it under the same number.
         """
         self.check_leads()
         encoded = command_codec.dump_json(command)
@@ -88,10 +88,10 @@
         return outcome
 
     def laggards(self, version: int) -> list[str]:
-        """Return the routers that keep a version from being in force.
+        """Return the routers that may not apply a version yet.
 
-        The leases of an earlier leader are unknown, so until they must have
-        lapsed an unnamed laggard is assumed.
+        Leases that an earlier leader granted are unknown.  Until they must have
+        expired, a placeholder stands for the routers that may hold them.
         """
         self.check_leads()
         assert self.observed_leadership is not None
@@ -101,7 +101,7 @@
         return self.routers.laggards(version)
 
     def refresh_directory(self) -> None:
-        """Look who is alive, and tell the streams if that has changed."""
+        """Update the directory, and notify the streams if it has changed."""
         alive = list(self.routers.alive())
         by_incarnation = {one.hello.incarnation: one for one in alive}
         routers = {one.hello.incarnation: one.entry() for one in alive}
@@ -118,7 +118,7 @@
             self.machine.version_changed.notify()
 
     async def assign_shards(self) -> None:
-        """Give every shard a scheduler that is alive; for ever."""
+        """Assign every shard to a live router, in a loop that doesn't end."""
         while True:
             await self.routers.roster_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
             try:
--- a/packages/control/src/hitchdeck_control/fleet/orders.py
+++ b/packages/control/src/hitchdeck_control/fleet/orders.py
@@ -1,9 +1,9 @@
-"""Orders to upstreams: one sender, one at a time for each upstream.
+"""Orders to upstreams, sent by the leader, one at a time for each upstream.
 
-An order is committed before it is sent, and numbered by (term, sequence).
-Upstreams that check this fence refuse what an earlier leader sends late.
-For those that don't, a new leader waits until nothing of an earlier one can
-still be under way, and reads what the upstream has before it sends.
+An order is committed before it is sent, with (term, sequence) as a fencing token.
+Upstreams that check the token reject orders that an earlier leader sent late.  For
+other upstreams, a new leader waits until no order of an earlier one can still be in
+flight, and reads the upstream's state before it sends an order.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from hitchdeck_core.retry_after import RETRY_AFTER, requested_backoff
 
 FLIGHT_SECONDS = 5.0
-"""Longest time from sending an order to its end, or the call is given up."""
+"""Timeout of a call that sends an order."""
 
 _POLL_SECONDS = 0.2
 _PATH = '/admin/orders'
@@ -36,20 +36,20 @@
 
 @dataclass(slots=True)
 class WeightStore:
-    """The weight store's rate, shared by all loads; bytes and seconds."""
+    """Throughput of the weight store, which all loads share; bytes and seconds."""
 
     rate: float
     free_at: float = 0.0
 
     def reserve(self, size: int, now: float) -> float:
-        """Return how long to wait before a load of this size may start."""
+        """Reserve throughput; return the seconds until the load may start."""
         start = max(now, self.free_at)
         self.free_at = start + size / self.rate
         return start - now
 
 
 class OrderSender:
-    """Sends open orders while its replica leads."""
+    """Sends open orders while its replica is the leader."""
 
     def __init__(self, leader: Leader, store: WeightStore) -> None:
         self.leader = leader
@@ -57,7 +57,7 @@
         self.in_progress: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Send whatever is open; for ever."""
+        """Send all open orders, in a loop that doesn't end."""
         while True:
             await self.leader.machine.version_changed.wait(_POLL_SECONDS)
             try:
@@ -87,7 +87,7 @@
             finished = await self._send_until_answered(sequence, order)
             await self.leader.execute(finished)
         except (NotLeaderError, OutcomeUnknownError) as error:
-            logs.info('order left to the next leader', reason=str(error))
+            logs.info('order left open for the next leader', reason=str(error))
 
     async def _send_until_answered(self, sequence: int, order: Order) -> FinishOrder:
         stored = self.leader.machine.state.resources.get(
@@ -120,7 +120,8 @@
                 state = await _send(upstream, order, term, sequence)
             except OrderError as error:
                 last_failure = str(error)
-                # Ten tries 0.2 s apart gave up an order within a pause of 3 s.
+                # Without the backoff, ten attempts 0.2 s apart abandoned an order
+                # while the upstream asked to wait 3 s.
                 await asyncio.sleep(max(_POLL_SECONDS, error.retry_after))
             else:
                 return FinishOrder(sequence=sequence, state=state)
@@ -129,8 +130,8 @@
     async def _wait_for_earlier_orders(self) -> None:
         """Wait until no order of an earlier leader can be in flight.
 
-        That leader stopped to send when its lease ended, at the latest when
-        this one was elected; what it had sent by then ends within a flight.
+        That leader stopped sending when its lease expired, at the latest when this
+        one was elected.  Its last calls end within ``FLIGHT_SECONDS``.
         """
         leadership = self.leader.replica.leadership
         if leadership is None:
@@ -178,7 +179,7 @@
 
 
 async def _is_applied(upstream: Upstream, order: Order) -> bool:
-    """Read an upstream's state, so as not to repeat what was done unseen."""
+    """Return whether the upstream's state shows that an order was already applied."""
     request = HTTPRequest(
         f'http://{upstream.address}{_PATH}',
         request_timeout=FLIGHT_SECONDS,
--- a/packages/control/src/hitchdeck_control/fleet/presence.py
+++ b/packages/control/src/hitchdeck_control/fleet/presence.py
@@ -1,8 +1,8 @@
-"""Routers as the leader sees them: connections, versions, leases.
+"""Routers known to the leader: connections, applied versions and leases.
 
-All of this is soft state of one leadership.  A new leader starts with none,
-and must not call a version in force before every lease that an earlier
-leader may have granted has run out.
+This is soft state of one leadership.  A new leader starts with none of it, and must
+not report a version as in force before all leases that an earlier leader may have
+granted have expired.
 """
 
 from collections.abc import Iterator
@@ -13,12 +13,12 @@
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterEntry, RouterHello
 
 _DISCONNECT_GRACE_SECONDS = 0.5
-"""Seconds for which a router without a connection still counts as alive."""
+"""Time for which a disconnected router still counts as alive."""
 
 
 @dataclass(slots=True)
 class Presence:
-    """One router life; times on the leader's clock, in seconds."""
+    """A router incarnation; times are seconds on the leader's clock."""
 
     hello: RouterHello
     version: int = 0
@@ -27,7 +27,7 @@
     disconnected_at: float | None = None
 
     def entry(self) -> RouterEntry:
-        """Return what other routers are told about this one."""
+        """Return the directory entry of this router."""
         return RouterEntry(
             router=self.hello.router,
             incarnation=self.hello.incarnation,
@@ -39,7 +39,7 @@
 
 
 class RouterTable:
-    """All router lives that this leadership has seen and not forgotten."""
+    """Router incarnations that connected under this leadership."""
 
     def __init__(self, now: Clock, lease_seconds: float) -> None:
         self.now = now
@@ -49,7 +49,7 @@
         self.roster_changed = Signal()
 
     def connect(self, hello: RouterHello) -> Presence:
-        """Record a new connection and return its router's presence."""
+        """Record a connection and return the presence of its router."""
         presence = self.by_incarnation.get(hello.incarnation)
         if presence is None:
             presence = Presence(hello)
@@ -60,12 +60,12 @@
         return presence
 
     def disconnect(self, presence: Presence) -> None:
-        """Record that a connection was lost."""
+        """Record the loss of a connection."""
         presence.disconnected_at = self.now()
         self.roster_changed.notify()
 
     def acknowledge(self, presence: Presence, version: int, leaving: bool) -> None:
-        """Record the configuration version that a router has in force."""
+        """Record the configuration version that a router applies."""
         if presence.leaving != leaving:
             presence.leaving = leaving
             self.roster_changed.notify()
@@ -79,7 +79,7 @@
         return self.lease_seconds
 
     def alive(self) -> Iterator[Presence]:
-        """Yield the lives that may be serving or schedule now."""
+        """Yield the incarnations that may be serving or scheduling now."""
         now = self.now()
         for presence in list(self.by_incarnation.values()):
             if presence.disconnected_at is None and presence.lease_until > now:
@@ -90,7 +90,7 @@
                 yield presence
 
     def laggards(self, version: int) -> list[str]:
-        """Return routers that may still admit under an older version."""
+        """Return the routers that may still admit requests under an older version."""
         now = self.now()
         return sorted(
             presence.hello.router
@@ -99,7 +99,7 @@
         )
 
     def remove_expired(self) -> list[str]:
-        """Drop, and return, lives that are gone and whose leases ran out."""
+        """Remove and return disconnected incarnations with expired leases."""
         now = self.now()
         gone = [
             incarnation
--- a/packages/control/src/hitchdeck_control/fleet/usage.py
+++ b/packages/control/src/hitchdeck_control/fleet/usage.py
@@ -1,9 +1,9 @@
-"""Service per account over the whole fleet, from sums that only grow.
+"""Usage per account in the whole fleet, from monotonic counters.
 
-Each router life reports, per shard and account, the cost of what it has run
-since it began.  Merging takes the larger of two reports, so a report that is
-repeated or late counts once.  What goes back to the scheduler of a shard is,
-per account, the service of all *other* shards: its own it hears of directly.
+Each router incarnation reports, per shard and account, the cost of its requests
+since its start.  Merging takes the larger of two reports, so repeated or delayed
+reports count once.  The scheduler of a shard receives the usage per account in all
+*other* shards; that of its own shard it learns directly.
 """
 
 from collections import defaultdict
@@ -16,12 +16,12 @@
 
 
 class UsageTable:
-    """Service in cost units.
+    """Usage in cost units.
 
     Attributes
     ----------
     changed_at
-        Per account, the table's position when its service last grew.
+        Per account, the table's position when its usage last grew.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self.ended: set[str] = set()
 
     def merge(self, incarnation: str, sums: Iterable[UsageSum]) -> None:
-        """Take over what has grown in a router life's sums."""
+        """Merge the cumulative sums that a router incarnation reported."""
         if incarnation in self.ended:
             return
         known = self.by_incarnation.setdefault(incarnation, {})
@@ -50,16 +50,16 @@
             self.changed_at[one.account] = self.position
 
     def retire(self, incarnation: str) -> None:
-        """Fold a router life that is over; totals keep what it served.
+        """Drop the details of a router incarnation that has ended; totals remain.
 
-        Should it come back after all, its sums are ignored rather than
-        counted again.
+        Later reports of that incarnation are ignored, since they would be counted
+        twice.
         """
         if self.by_incarnation.pop(incarnation, None) is not None:
             self.ended.add(incarnation)
 
     def usage_outside(self, shard: str, position: int) -> Iterator[UsageSum]:
-        """Yield other shards' service for the accounts that grew since."""
+        """Yield the usage outside a shard of accounts that grew since a position."""
         for account, changed_at in reversed(self.changed_at.items()):
             if changed_at <= position:
                 return
--- a/packages/control/src/hitchdeck_control/fleet/watch.py
+++ b/packages/control/src/hitchdeck_control/fleet/watch.py
@@ -1,4 +1,4 @@
-"""One router's stream: beats in; leases, deltas, directory and usage out."""
+"""A router's stream: heartbeats in; leases, deltas, directory and usage out."""
 
 import asyncio
 from collections.abc import Iterator
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class SentState:
-    """What a router has been sent; versions, positions, leader's seconds."""
+    """What a router has been sent; times are seconds on the leader's clock."""
 
     version: int
     directory: DirectoryState | None = None
@@ -39,7 +39,7 @@
 
 
 async def serve_router(leader: Leader, stream: WatchStream) -> None:
-    """Serve one router until its stream or this leadership ends."""
+    """Serve a router until its stream or this leadership ends."""
     first = await stream.recv_message()
     if first is None:
         return
@@ -107,10 +107,10 @@
 
 
 def _next_frame(leader: Leader, presence: Presence, sent: SentState) -> ControlFrame:
-    """Return what the router lacks, and note it as sent.
+    """Return a frame with all pending updates, and record them as sent.
 
-    Nothing awaits between reading the state and noting it, so beats and
-    pushes of one stream never send the same delta twice or out of order.
+    There is no ``await`` between reading the state and recording it, so replies to
+    heartbeats and pushes never send a delta twice or out of order.
     """
     frame = ControlFrame()
     if sent.version != leader.machine.state.version:
@@ -138,17 +138,17 @@
     presence: Presence,
     sent: SentState,
 ) -> Iterator[UsageSum]:
-    """Yield the sums that the schedulers on a router need."""
+    """Yield the usage sums that the schedulers on a router need."""
     for shard, assignment in leader.machine.state.duties.items():
         if assignment.incarnation == presence.hello.incarnation:
             yield from leader.usage.usage_outside(shard, sent.usage_position)
 
 
 def _may_grant_lease(leader: Leader, presence: Presence, sent: SentState) -> bool:
-    """Withhold the lease from a router that does not take up a version.
+    """Return whether a router may have a lease, which requires that it keeps up.
 
-    A router that beats but never applies would otherwise hold up "in force
-    everywhere" for ever.
+    Otherwise a router that sends heartbeats but applies no updates would keep a
+    version from being in force everywhere, without a time limit.
     """
     now = leader.now()
     if presence.version >= leader.machine.state.version:
--- a/packages/control/src/hitchdeck_control/machine/__init__.py
+++ b/packages/control/src/hitchdeck_control/machine/__init__.py
@@ -1,1 +1,1 @@
-"""The state machine: what committed commands mean."""
+"""The replicated state machine, which applies committed commands."""
--- a/packages/control/src/hitchdeck_control/machine/configuration.py
+++ b/packages/control/src/hitchdeck_control/machine/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: resources, their versions, and the log of changes."""
+"""Configuration: resources, their versions, and the list of recent changes."""
 
 from expression import Error, Ok, Result
 
@@ -7,8 +7,9 @@
 from hitchdeck_core.outcomes import Applied, Refused
 
 _MAX_CHANGES = 4000
-"""An hour's cut at 28,000 changes a day is 1,167; a router that is further
-behind gets everything, which at 12,000 upstreams takes it seconds."""
+"""Changes kept for deltas.  A router that was cut off for an hour misses 1,167 at
+28,000 changes a day.  One that is further behind gets the full configuration,
+which takes it seconds at 12,000 upstreams."""
 
 Write = Put | Delete
 
@@ -19,7 +20,7 @@
 
 
 def apply_batch(state: MachineState, batch: Batch) -> Result[Applied, Refused]:
-    """Make all changes of a batch, or none; one batch is one version."""
+    """Apply all changes of a batch, or none; a batch makes one new version."""
     for write in batch.changes:
         refusal = _check_precondition(state, write)
         if refusal is not None:
@@ -32,7 +33,7 @@
 
 
 def changes_since(state: MachineState, version: int) -> list[Change] | None:
-    """Return the changes after a version, or ``None`` if they are forgotten."""
+    """Return the changes after a version, or ``None`` if some are no longer kept."""
     if version > state.version:
         return None
     oldest = state.changes[0].version if state.changes else state.version + 1
--- a/packages/control/src/hitchdeck_control/machine/deduplication.py
+++ b/packages/control/src/hitchdeck_control/machine/deduplication.py
@@ -1,4 +1,4 @@
-"""Operators' commands by number: a resend gets the first answer."""
+"""Deduplication of operators' commands: a retry gets the recorded outcome."""
 
 from hitchdeck_control.machine.state import MachineState, RecordedOutcome
 from hitchdeck_core.commands import Submission
@@ -10,10 +10,10 @@
 def find_recorded_outcome(
     state: MachineState, submission: Submission
 ) -> Outcome | None:
-    """Return what a submission must be answered without running it.
+    """Return the outcome of a submission that must not be applied, else ``None``.
 
-    ``None`` means that its number is new.  Numbers below those remembered
-    are refused: they may have run, and nobody knows any more.
+    ``None`` means that its number is new.  Numbers below the recorded ones are
+    rejected, since it is no longer known whether they were applied.
     """
     if not submission.operator:
         return None
@@ -34,7 +34,7 @@
     submission: Submission,
     outcome: Outcome,
 ) -> None:
-    """Keep the answer, and forget the operator's lowest number if need be."""
+    """Record an outcome, and evict the operator's lowest number when full."""
     if not submission.operator:
         return
     numbers = state.remembered.setdefault(submission.operator, {})
--- a/packages/control/src/hitchdeck_control/machine/ledger.py
+++ b/packages/control/src/hitchdeck_control/machine/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of requests that may run at most once.
+"""The ledger of non-repeatable requests, which may run at most once.
 
-A claim is never taken over: if its holder dies, the truth is unknown and
-stays so until the key expires.  Expiry is safe because a key carries the
-time of its issue, and a claim for an expired key is refused.
+A claim is never transferred: if its holder crashes, the outcome is unknown and
+stays unknown until the key expires.  Expiry is safe because a key contains its time
+of issue, and claims for expired keys are rejected.
 """
 
 from hitchdeck_control.machine.state import ClaimEntry, MachineState
@@ -10,16 +10,16 @@
 from hitchdeck_core.outcomes import Applied, Granted, Outcome, Pending, Refused, Settled
 
 _CLOCK_SKEW_SECONDS = 300.0
-"""Seconds by which a caller's clock may run ahead of the group's."""
+"""Limit by which a caller's clock may be ahead of the group's clock."""
 
 
 def apply_claim(state: MachineState, claim: Claim, retention: float) -> Outcome:
-    """Decide who runs a request.
+    """Grant a claim, or return the state of the existing one.
 
     Parameters
     ----------
     retention
-        Seconds after its issue for which a key is remembered.
+        Seconds for which a key is kept after its issue.
     """
     if claim.issued + retention <= state.clock:
         return Refused(code='expired', reason='the key is past its retention')
@@ -40,7 +40,7 @@
 
 
 def apply_settle(state: MachineState, settle: Settle) -> Outcome:
-    """Keep the outcome of a claim; ``not-run`` frees the key."""
+    """Record the outcome of a claim; ``not-run`` releases the key."""
     key = ledger_key(settle.account, settle.key)
     entry = state.claims.get(key)
     if entry is None or entry.request != settle.request:
@@ -58,7 +58,7 @@
 
 
 def drop_expired(state: MachineState) -> None:
-    """Forget keys past their retention."""
+    """Remove expired keys."""
     expired = [
         key for key, entry in state.claims.items() if entry.expires <= state.clock
     ]
@@ -85,8 +85,8 @@
             body=entry.body,
         )
     if entry.request == claim.request:
-        # The holder asks again because its answer was lost; it has not
-        # dispatched, as it dispatches only on an answer.
+        # A retry by the holder, which lost the reply.  It hasn't dispatched the
+        # request, since it does so only after a reply.
         return Granted()
     return Pending(
         router=entry.router,
--- a/packages/control/src/hitchdeck_control/machine/state.py
+++ b/packages/control/src/hitchdeck_control/machine/state.py
@@ -1,4 +1,4 @@
-"""State that the log builds up; a snapshot is its JSON."""
+"""State that results from applying the log; a snapshot is its JSON form."""
 
 from pydantic import BaseModel, Field
 
@@ -16,7 +16,7 @@
 
 
 class Change(BaseModel):
-    """One line of the change log: a deleted or written resource."""
+    """An entry of the change list: a resource that was written or deleted."""
 
     version: int
     kind: str
@@ -24,14 +24,14 @@
 
 
 class RecordedOutcome(BaseModel):
-    """What an operator's command was and what it was answered."""
+    """Digest and outcome of an operator's command."""
 
     digest: str
     outcome: Outcome
 
 
 class ClaimEntry(BaseModel):
-    """A non-repeatable request; Unix seconds for times."""
+    """The claim on a non-repeatable request; ``expires`` is in Unix seconds."""
 
     digest: str
     router: str
@@ -46,7 +46,7 @@
 
 
 class ShardAssignment(BaseModel):
-    """Who schedules a shard; a higher epoch outranks."""
+    """The router that schedules a shard; the highest epoch is valid."""
 
     router: str
     incarnation: Incarnation
@@ -54,7 +54,7 @@
 
 
 class Order(BaseModel):
-    """An order to an upstream and how it stands."""
+    """An order to an upstream, and its state."""
 
     order: PlaceOrder
     state: str = 'open'
@@ -62,7 +62,7 @@
 
 
 class MachineState(BaseModel):
-    """Everything that must survive."""
+    """The complete replicated state."""
 
     version: int = 0
     clock: float = 0
--- a/packages/control/src/hitchdeck_control/machine/state_machine.py
+++ b/packages/control/src/hitchdeck_control/machine/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies submissions, in log order, the same on every replica."""
+"""The state machine, which applies log entries identically on all replicas."""
 
 from expression import Result
 
@@ -26,24 +26,24 @@
 
 
 def first_command() -> bytes:
-    """Return the entry that a new leader commits; it changes nothing."""
+    """Return the no-op command that a new leader commits first."""
     return submission_codec.dump_json(Submission(command=NoOperation()))
 
 
 class StateMachine:
-    """The replicated state and the only code that changes it."""
+    """The replicated state, and the only code that modifies it."""
 
     def __init__(self, ledger_retention: float) -> None:
         self.state = MachineState()
-        # Notified with each new configuration version; claims, which are far
-        # more frequent, wake none of the routers' streams.
+        # Notified of new configuration versions only.  Claims are much more frequent
+        # and need not wake the routers' streams.
         self.version_changed = Signal()
         self.ledger_retention = ledger_retention
 
     def apply(self, encoded: bytes) -> Outcome:
-        """Apply one log entry and return what its submitter is told."""
+        """Apply a log entry and return the outcome for its submitter."""
         submission = submission_codec.validate_json(encoded)
-        # The log's own clock never runs back, whoever leads.
+        # The clock of the log is monotonic across leaders.
         self.state.clock = max(self.state.clock, submission.taken_at)
         self._expire()
         answer = deduplication.find_recorded_outcome(self.state, submission)
@@ -57,11 +57,11 @@
         return outcome
 
     def dump(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Serialize the state for a snapshot."""
         return self.state.model_dump_json().encode()
 
     def load(self, encoded: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by the one in a snapshot."""
         self.state = MachineState.model_validate_json(encoded or b'{}')
 
     def _expire(self) -> None:
