--- a/packages/control/src/hitchdeck_control/raft/__init__.py
+++ b/packages/control/src/hitchdeck_control/raft/__init__.py
@@ -1,6 +1,6 @@
-"""Agreement: elections, replication, membership.
+"""Consensus: elections, replication and membership changes.
 
-The Raft algorithm (Ongaro and Ousterhout, "In Search of an Understandable
-Consensus Algorithm", USENIX ATC 2014) with pre-vote, check-quorum, a leader
-lease, and one membership change at a time, as in Ongaro's dissertation.
+Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+Algorithm", USENIX ATC 2014) with pre-vote, check-quorum, a leader lease and
+single-server membership changes, as in Ongaro's dissertation.
 """
--- a/packages/control/src/hitchdeck_control/raft/delays.py
+++ b/packages/control/src/hitchdeck_control/raft/delays.py
@@ -1,28 +1,28 @@
-"""Delays of this process itself, which are no silence of its peers."""
+"""Delays of this process's own event loop, which must not count against peers."""
 
 import asyncio
 
 from hitchdeck_core.clock import Clock
 
 DECAY = 0.8
-"""Part of a delay that still counts at the next observation."""
+"""Factor by which the recorded delay decreases at each observation."""
 
 TURNS_PER_EXCHANGE = 4
-"""Turns of the event loop that an exchange with a peer takes at this end."""
+"""Turns of the local event loop that a call to a peer takes."""
 
 
 class SchedulingDelay:
-    """How late this process does what is due.
+    """Measures how late the event loop runs timers.
 
     Parameters
     ----------
     most
-        Cap on one delay in seconds, so that a suspension is soon forgotten.
+        Limit of one delay in seconds, so that a suspension has no lasting effect.
 
     Attributes
     ----------
     lag
-        The longest delay of late, in seconds.
+        The longest recent delay in seconds, which decays over time.
     """
 
     def __init__(self, now: Clock, max_delay: float) -> None:
@@ -31,12 +31,12 @@
         self.lag = 0.0
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep, and observe how late it ends."""
+        """Sleep, and measure how late the sleep ends."""
         due = self.now() + seconds
         await asyncio.sleep(seconds)
         late = min(self.max_delay, max(0, self.now() - due))
         self.lag = max(late, DECAY * self.lag)
 
     def allowance(self) -> float:
-        """Return what to add to the time given to a peer, in seconds."""
+        """Return the seconds by which to extend timeouts for peers."""
         return TURNS_PER_EXCHANGE * self.lag
--- a/packages/control/src/hitchdeck_control/raft/election.py
+++ b/packages/control/src/hitchdeck_control/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, vote, and a leader's stepping down."""
+"""Elections: pre-vote, vote, and stepping down without a quorum."""
 
 import asyncio
 import random
@@ -17,10 +17,10 @@
 
 
 async def run_elections(replica: Replica, client: PeerClient) -> None:
-    """Campaign whenever no leader was heard for a random while; for ever.
+    """Campaign whenever there was no contact with a leader for a random timeout.
 
-    What came while this process was behind is not read yet: its own delay must not
-    count as a silence of the others, or its elections never end.
+    Messages that arrived while the event loop was delayed are not read yet, so the
+    delay is added to the timeout.  Otherwise elections in a slow process never end.
     """
     while True:
         timeout = replica.timing.election_timeout * random.uniform(1, 2)
@@ -35,8 +35,8 @@
 async def campaign(replica: Replica, client: PeerClient) -> None:
     """Try to become the leader.
 
-    The pre-vote keeps a replica that was cut off from raising the term: on
-    its return it would depose a leader that everyone else hears.
+    The pre-vote keeps a partitioned replica from increasing its term.  Otherwise it
+    would depose a healthy leader when it reconnects.
     """
     replica.leader_id = ReplicaId('')
     if not await _wins_vote(replica, client, replica.term + 1, pre_vote=True):
@@ -55,7 +55,7 @@
 
 
 async def handle_vote(replica: Replica, request: VoteRequest) -> VoteReply:
-    """Answer a request for a vote; a granted vote is synced first."""
+    """Answer a vote request; a granted vote is synced before the reply."""
     if not _may_vote(replica, request):
         return VoteReply(term=replica.term, granted=False)
     if request.pre_vote:
@@ -73,8 +73,8 @@
 def _may_vote(replica: Replica, request: VoteRequest) -> bool:
     if request.target != replica.identity.replica:
         return False
-    # Whether a member votes is for the candidate to know: a newcomer may not
-    # have heard yet that it votes, and the group may need its vote now.
+    # Only the candidate's membership decides whether this replica votes.  A new
+    # member may not know of its promotion yet, and its vote may be needed now.
     if request.term < replica.term or not replica.is_member():
         return False
     if _hears_leader(replica) and request.candidate != replica.log.vote:
@@ -94,7 +94,11 @@
 def _step_down_without_quorum(replica: Replica, allowance: float) -> None:
     silence = replica.now() - replica.quorum_contact()
     if silence > 2 * replica.timing.election_timeout + allowance:
-        logs.warning('no quorum heard', seconds=silence, term=replica.term)
+        logs.warning(
+            'stepping down, no contact with a quorum',
+            seconds=silence,
+            term=replica.term,
+        )
         replica.last_contact_at = replica.now()
         replica.become_follower(replica.term, ReplicaId(''))
 
--- a/packages/control/src/hitchdeck_control/raft/membership.py
+++ b/packages/control/src/hitchdeck_control/raft/membership.py
@@ -1,4 +1,4 @@
-"""Membership: founding a group; admitting, replacing, dismissing replicas."""
+"""Membership: founding a group; adding, replacing and removing replicas."""
 
 import asyncio
 
@@ -15,16 +15,16 @@
 
 
 async def found_group(replica: Replica, members: list[Member]) -> None:
-    """Make this replica part of a new group.
+    """Found a group that includes this replica.
 
-    Every founder writes the same first entry, so founding may be repeated
-    until all have done it.  Only the replicas named may take part: a box
-    whose folder was replaced since is refused.
+    All founding members write the same first entry, so the call may be retried until
+    it has succeeded on all of them.  Only the named replicas may take part: a box
+    whose data folder was replaced meanwhile is rejected.
 
     Raises
     ------
     MembershipError
-        This replica is not named, or belongs to another group already.
+        This replica is not named, or already belongs to another group.
     """
     names = {member.replica for member in members}
     if replica.identity.replica not in names:
@@ -38,20 +38,20 @@
             members,
         ):
             return
-        raise MembershipError(f'{replica.identity.replica} is in a group already')
+        raise MembershipError(f'{replica.identity.replica} already belongs to a group')
     replica.log.append([Entry(term=_FIRST_TERM, index=1, members=members)])
     replica.log.save_vote(max(_FIRST_TERM, replica.term), replica.log.vote)
     await replica.log.flush()
 
 
 async def replace_replica(replica: Replica, newcomer: Member) -> None:
-    """Put a replica with a new disk in the place of its box's old one.
+    """Replace the replica of a box by one with a new disk.
 
-    Steps, each committed before the next: the newcomer joins as a learner;
-    once it has all committed entries, the old replica is removed; then the
-    newcomer votes.  Removing before promoting keeps the quorum at two of
-    two and then two of three; the other order needs three of four while
-    one of the four is dead.  Repeating a replacement resumes it.
+    Each step is committed before the next: the newcomer is added as a learner; once
+    it has caught up, the old replica is removed; then the newcomer is promoted to a
+    voter.  In a group of three, removing first requires a quorum of two of two, then
+    two of three.  Promoting first would require three of four while one of the four
+    is down.  A repeated replacement resumes where the first one stopped.
     """
     await add_replica(replica, newcomer, promote=False)
     await _commit_membership(
@@ -67,28 +67,28 @@
 
 
 async def add_replica(replica: Replica, newcomer: Member, *, promote: bool) -> None:
-    """Take a replica in as a learner; let it vote once it has caught up.
+    """Add a replica as a learner; optionally promote it once it has caught up.
 
     Raises
     ------
     MembershipError
-        It does not catch up, or another change is under way.
+        The replica doesn't catch up, or another change is in progress.
     """
     await _add_learner(replica, newcomer)
     await _wait_until_caught_up(replica, ReplicaId(newcomer.replica))
     if promote:
         await _promote(replica, newcomer)
-        logs.info('replica votes', newcomer=newcomer.replica)
+        logs.info('replica promoted to voter', newcomer=newcomer.replica)
 
 
 async def remove_replica(replica: Replica, member: Member) -> None:
-    """Take a member out of the group."""
+    """Remove a member from the group."""
     await _commit_membership(replica, _others(replica, member))
-    logs.info('replica dismissed', replica=member.replica)
+    logs.info('replica removed', replica=member.replica)
 
 
 def unresponsive_voters(replica: Replica, seconds: float) -> list[Member]:
-    """Return the voters that the leader has not heard for so long."""
+    """Return the voters without contact to the leader for a time in seconds."""
     leadership = replica.leadership
     if leadership is None:
         return []
@@ -111,7 +111,7 @@
 async def _add_learner(replica: Replica, newcomer: Member) -> None:
     if any(one.replica == newcomer.replica for one in replica.members()):
         return
-    # An earlier newcomer of the same box, lost before it could vote, goes.
+    # Also removes an earlier learner of the box, lost before its promotion.
     kept = [one for one in replica.members() if one.voter or one.box != newcomer.box]
     await _commit_membership(replica, [*kept, _copy(newcomer, voter=False)])
 
@@ -125,7 +125,7 @@
         ):
             return
         await asyncio.sleep(_CATCH_UP_POLL_SECONDS)
-    raise MembershipError(f'{newcomer} does not catch up')
+    raise MembershipError(f'{newcomer} does not catch up with the log')
 
 
 async def _commit_membership(replica: Replica, members: list[Member]) -> None:
--- a/packages/control/src/hitchdeck_control/raft/peer_client.py
+++ b/packages/control/src/hitchdeck_control/raft/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to the other replicas, one channel each."""
+"""Client for calls to the other replicas."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class PeerClient:
-    """Channels to peers by address, opened on first use."""
+    """Channels to peers by address, opened on first use and dropped on errors."""
 
     def __init__(
         self, fleet_token: str, timeout: float, scheduling_delay: SchedulingDelay
@@ -32,7 +32,7 @@
         self.channels: dict[Address, Channel] = {}
 
     async def vote(self, address: Address, request: VoteRequest) -> VoteReply:
-        """Ask for a vote, or raise ``LinkError``."""
+        """Request a vote, or raise ``LinkError``."""
         stub = self._stub(address)
         try:
             async with asyncio.timeout(self._call_timeout()):
@@ -58,7 +58,7 @@
         address: Address,
         request: SnapshotRequest,
     ) -> AppendReply:
-        """Send a whole snapshot, or raise ``LinkError``."""
+        """Send a snapshot, or raise ``LinkError``."""
         stub = self._stub(address)
         try:
             async with asyncio.timeout(_SNAPSHOT_SECONDS):
@@ -75,10 +75,11 @@
         return self.timeout + self.scheduling_delay.allowance()
 
     def _drop_channel(self, address: Address, error: BaseException) -> LinkError:
-        """Drop the channel: a peer that lost power never closes its side.
+        """Close the channel and return the error to raise.
 
-        Kept, the connection would wait for retransmissions whose pauses grow
-        to seconds, long after the peer is back.
+        A peer that lost power doesn't close the connection.  If the channel were
+        kept, calls would wait for TCP retransmissions, whose intervals grow to
+        seconds, long after the peer has restarted.
         """
         channel = self.channels.pop(address, None)
         if channel is not None:
--- a/packages/control/src/hitchdeck_control/raft/replica.py
+++ b/packages/control/src/hitchdeck_control/raft/replica.py
@@ -1,4 +1,4 @@
-"""State of one replica, and what may be asked of it."""
+"""State of a Raft replica, and the operations on it."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,16 +16,16 @@
 from hitchdeck_core.wire.hitchdeck_pb2 import Entry, Member, Snapshot
 
 Outcome = Any
-"""What a state machine answers to a command: the replica only passes it on, and
-so starts without the codecs of any machine's answers."""
+"""Result of a command.  The replica only forwards it, and therefore doesn't import
+the codecs of the state machine's outcomes at startup."""
 
 LEASE_FRACTION = 0.8
-"""Part of the election timeout that a leader relies on; the rest is for
+"""Leader lease as a fraction of the election timeout; the rest is a margin for
 clocks that run at different rates."""
 
 
 class Role(Enum):
-    """What a replica is at the moment."""
+    """Current Raft role of a replica."""
 
     follower = 'follower'
     candidate = 'candidate'
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far one peer is, as its leader knows.
+    """Replication state of a peer, as known to the leader.
 
-    ``acked_at`` is when the last request that the peer answered was *sent*,
-    on the leader's clock in seconds: the peer heard no earlier than that.
+    ``acked_at`` is when the last request that the peer answered was *sent*, in
+    seconds on the leader's clock.  The peer received it no earlier than that.
     """
 
     next_index: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times in seconds; ``snapshot_every`` in entries."""
+    """Timing parameters in seconds; ``snapshot_every`` is in log entries."""
 
     heartbeat: float
     election_timeout: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaIdentity:
-    """Who this replica is."""
+    """Identity and address of a replica."""
 
     replica: ReplicaId
     box: BoxName
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """A proposed entry whose fate somebody waits for."""
+    """A proposed entry whose outcome is awaited."""
 
     term: int
     outcome: asyncio.Future[Outcome]
@@ -73,10 +73,10 @@
 
 @dataclass(slots=True)
 class StateMachineCallbacks:
-    """The state machine, as functions.
+    """The functions of a state machine.
 
-    ``first_command`` changes nothing: a new leader commits it, and with it
-    all that earlier leaders appended.
+    ``first_command`` is a no-op that a new leader commits, which also commits all
+    entries of earlier leaders.
     """
 
     apply: Callable[[bytes], Outcome]
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """What a replica keeps only while it leads."""
+    """State that a replica has only while it is the leader."""
 
     started_at: float
     first_index: int
@@ -95,7 +95,7 @@
 
 
 class Replica:
-    """One replica of the group."""
+    """A replica of the group."""
 
     def __init__(
         self,
@@ -113,8 +113,8 @@
         self.scheduling_delay = SchedulingDelay(now, timing.election_timeout)
         self.role = Role.follower
         self.leader_id = ReplicaId('')
-        # A restarted replica may have promised a leader not to vote just
-        # before it went down, so it counts as having heard one.
+        # Just before its restart the replica may have been in contact with a
+        # leader, whose lease relies on it.  So it starts as if it had been.
         self.last_contact_at = now()
         self.leadership: Leadership | None = None
         self.commit_index = int(log.snapshot.last_index)
@@ -140,40 +140,40 @@
         return [member for member in self.members() if member.voter]
 
     def is_member(self) -> bool:
-        """Tell whether this replica belongs to its group, voting or not."""
+        """Return whether this replica is a member of its group, voting or not."""
         return any(one.replica == self.identity.replica for one in self.members())
 
     def is_voter(self) -> bool:
-        """Tell whether this replica votes."""
+        """Return whether this replica is a voter."""
         return any(one.replica == self.identity.replica for one in self.voters())
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Return whether this replica is leader, as far as it knows."""
         return self.role is Role.leader
 
     def leader_address(self) -> str:
-        """Return the address of the leader, blank if none is known."""
+        """Return the address of the leader, blank if it is unknown."""
         for member in self.members():
             if member.replica == self.leader_id:
                 return member.address
         return ''
 
     def quorum_contact(self) -> float:
-        """Return the latest time at which a majority had been in contact."""
+        """Return the latest time since which a majority has been in contact."""
         assert self.leadership is not None
         times = sorted(
             self._contact_with(ReplicaId(member.replica)) for member in self.voters()
         )
-        # With voters sorted by time, the majority is the upper part.
+        # A majority was in contact at or after the lower median.
         return times[(len(times) - 1) // 2]
 
     def has_lease(self) -> bool:
-        """Tell whether nobody else can lead at this moment.
+        """Return whether this replica is certainly the only leader.
 
-        Voters refuse to elect within an election timeout of hearing their
-        leader, so a leader with recent contact to a majority is the only
-        one.  It must also have committed an entry of its own term, or it
-        does not yet know all that earlier leaders committed.
+        Voters grant no vote within an election timeout after contact with their
+        leader, so a leader with recent contact to a majority is the only one.  It
+        must also have applied an entry of its own term, since before that it may
+        not know all entries that earlier leaders committed.
         """
         if self.leadership is None:
             return False
@@ -195,7 +195,7 @@
         NotLeaderError
             The command was not appended.
         OutcomeUnknownError
-            Leadership was lost; the command may or may not be committed.
+            Leadership was lost; the command may still be committed.
         """
         if not self.is_leader():
             raise NotLeaderError(self.leader_address())
@@ -207,7 +207,7 @@
         return await self.propose_entry(entry)
 
     async def propose_entry(self, entry: Entry) -> Outcome:
-        """Append an entry as the leader and wait for its outcome."""
+        """Append an entry as the leader, and wait for its outcome."""
         loop = asyncio.get_running_loop()
         proposal = Proposal(int(entry.term), loop.create_future())
         self.log.append([entry])
@@ -216,13 +216,13 @@
         return await proposal.outcome
 
     def become_follower(self, term: int, leader: ReplicaId) -> None:
-        """Become a follower; a higher term is to be flushed by the caller."""
+        """Become a follower; the caller must flush a higher term to disk."""
         if term > self.term:
             self.log.save_vote(term, '')
         self.leader_id = leader
         if self.role is Role.follower:
             return
-        logs.info('follows', term=term, leader=leader)
+        logs.info('became follower', term=term, leader=leader)
         self.role = Role.follower
         self.leadership = None
         self._fail_proposals()
@@ -238,7 +238,7 @@
         self.role_changed.notify()
 
     def progress_of(self, replica: ReplicaId) -> Progress:
-        """Return the leader's record of a peer, made on first use."""
+        """Return the replication state of a peer, created on first use."""
         assert self.leadership is not None
         return self.leadership.peers.setdefault(
             replica,
@@ -246,24 +246,24 @@
         )
 
     def advance_commit(self) -> None:
-        """Commit what a majority of voters has synced in this term."""
+        """Commit the entries that a majority of voters has synced."""
         if self.leadership is None:
             return
         matches = sorted(
             self._match_of(ReplicaId(member.replica)) for member in self.voters()
         )
         agreed = matches[(len(matches) - 1) // 2]
-        # Entries of earlier terms are committed only along with one of this
-        # term: counting replicas alone would not make them safe (Raft, 5.4.2).
+        # Entries of earlier terms are committed only together with one of this term,
+        # since counting replicas is not safe for them (Raft, 5.4.2).
         if agreed > self.commit_index and self.log.term_at(agreed) == self.term:
             self.commit_index = agreed
             self.committed.notify()
 
     def apply_committed(self) -> None:
-        """Apply every committed entry and tell those who wait.
+        """Apply all committed entries and resolve their proposals.
 
-        While a snapshot from the leader is taken over, the entries before it
-        are gone and its state is not here yet: there is nothing to apply.
+        Does nothing while a snapshot from the leader is being installed: the entries
+        before it are already dropped, and its state is not loaded yet.
         """
         base = int(self.log.snapshot.last_index)
         while base <= self.applied_index < self.commit_index:
@@ -276,7 +276,7 @@
         self.applied.notify()
 
     async def take_snapshot(self) -> None:
-        """Replace the applied part of the log by a snapshot."""
+        """Compact the applied part of the log into a snapshot."""
         index = self.applied_index
         snapshot = Snapshot(
             last_index=index,
@@ -309,7 +309,9 @@
         if proposal is None or proposal.outcome.done():
             return
         if proposal.term != entry.term:
-            proposal.outcome.set_exception(OutcomeUnknownError('overwritten'))
+            proposal.outcome.set_exception(
+                OutcomeUnknownError('entry overwritten by another leader')
+            )
         else:
             proposal.outcome.set_result(outcome)  # type: ignore[arg-type]
 
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -1,4 +1,4 @@
-"""Replication: one task for each peer, and the follower's side."""
+"""Log replication: a task for each peer of a leader, and the follower's side."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 async def replicate(replica: Replica, client: PeerClient) -> None:
-    """Keep one task for each peer while this replica leads; for ever."""
+    """Run a replication task for each peer whenever this replica leads."""
     while True:
         if replica.leadership is None:
             await replica.role_changed.wait()
@@ -33,7 +33,7 @@
 
 
 async def write_log(replica: Replica) -> None:
-    """Sync what the leader appends, as one batch whenever the disk is free."""
+    """Sync appended entries, in one batch whenever the disk is idle."""
     while True:
         if replica.log.synced_index >= replica.log.last_index:
             await replica.appended.wait(replica.timing.heartbeat)
@@ -43,7 +43,7 @@
 
 
 async def apply_log(replica: Replica) -> None:
-    """Apply what is committed and take snapshots; for ever."""
+    """Apply committed entries and take snapshots, in a loop that doesn't end."""
     while True:
         if replica.applied_index >= replica.commit_index:
             await replica.committed.wait(replica.timing.heartbeat)
@@ -58,7 +58,7 @@
     append_lock: asyncio.Lock,
     request: AppendRequest,
 ) -> AppendReply:
-    """Take entries from the leader; the answer follows the sync."""
+    """Append entries from the leader; the reply follows the sync to disk."""
     refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
@@ -84,7 +84,7 @@
     append_lock: asyncio.Lock,
     request: SnapshotRequest,
 ) -> AppendReply:
-    """Take a snapshot from the leader in place of entries it has dropped."""
+    """Install a snapshot from the leader, which has dropped the entries."""
     refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
@@ -96,7 +96,7 @@
             replica.state_machine.load(snapshot.state)
             replica.commit_index = int(snapshot.last_index)
             replica.applied_index = int(snapshot.last_index)
-            logs.info('snapshot taken over', index=replica.commit_index)
+            logs.info('snapshot installed', index=replica.commit_index)
     return AppendReply(
         term=request.term,
         success=True,
@@ -164,9 +164,9 @@
     else:
         reply = await client.append(address, _append_request(replica, peer))
     if reply.other_replica:
-        # Neither contact nor refusal: a box with a new disk must not keep
-        # the lease alive in the name of its lost replica.
-        raise LinkError(f'{peer.address} is {peer.replica} no more')
+        # Counts neither as contact nor as a rejection: a box with a new disk must
+        # not extend the leader's lease on behalf of its lost replica.
+        raise LinkError(f'{peer.address} no longer runs replica {peer.replica}')
     if reply.term > replica.term:
         replica.become_follower(int(reply.term), ReplicaId(''))
         await replica.log.flush()
@@ -175,7 +175,7 @@
     if reply.term == term:
         progress.acked_at = sent_at
     if not reply.success:
-        # A refusal under this term says how far the peer's log may match.
+        # A rejection in this term tells how far the peer's log may match.
         progress.next_index = max(1, int(reply.last_index) + 1)
         if reply.term != term:
             await asyncio.sleep(replica.timing.heartbeat)
@@ -211,7 +211,7 @@
     replica: Replica,
     request: AppendRequest | SnapshotRequest,
 ) -> AppendReply | None:
-    """Refuse what is not for this replica or of an old term, else follow."""
+    """Reject requests for other replicas or of old terms, else follow the leader."""
     if request.target != replica.identity.replica:
         return AppendReply(other_replica=True)
     if request.term < replica.term:
@@ -222,7 +222,7 @@
 
 
 def _append_entries(replica: Replica, request: AppendRequest) -> int | None:
-    """Append what is new; the last matching index, or ``None`` for a gap."""
+    """Append new entries; return the last matching index, ``None`` for a gap."""
     previous = int(request.previous_index)
     base = int(replica.log.snapshot.last_index)
     if previous >= base and replica.log.term_at(previous) != request.previous_term:
@@ -240,4 +240,4 @@
 
 
 def _check_keeps_committed(replica: Replica, first: Entry) -> None:
-    assert first.index > replica.commit_index, 'committed entries never change'
+    assert first.index > replica.commit_index, 'committed entries must not change'
--- a/packages/control/src/hitchdeck_control/raft/service.py
+++ b/packages/control/src/hitchdeck_control/raft/service.py
@@ -1,4 +1,4 @@
-"""What a replica answers to its peers and to whoever founds the group."""
+"""The ``Replication`` service, for peers and for founding the group."""
 
 import asyncio
 
@@ -24,20 +24,20 @@
 
 
 class ReplicationService(ReplicationBase):
-    """Serves the ``Replication`` calls."""
+    """Implements the ``Replication`` service."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self.append_lock = asyncio.Lock()
 
     async def Vote(self, stream: Stream[VoteRequest, VoteReply]) -> None:
-        """Answer a candidate."""
+        """Vote on a candidate."""
         request = await stream.recv_message()
         assert request is not None
         await stream.send_message(await handle_vote(self.replica, request))
 
     async def Append(self, stream: Stream[AppendRequest, AppendReply]) -> None:
-        """Take entries or a heartbeat."""
+        """Append entries, or accept a heartbeat."""
         request = await stream.recv_message()
         assert request is not None
         reply = await handle_append(self.replica, self.append_lock, request)
@@ -47,7 +47,7 @@
         self,
         stream: Stream[SnapshotRequest, AppendReply],
     ) -> None:
-        """Take a snapshot."""
+        """Install a snapshot."""
         request = await stream.recv_message()
         assert request is not None
         reply = await handle_snapshot(self.replica, self.append_lock, request)
@@ -57,7 +57,7 @@
         self,
         stream: Stream[IdentifyRequest, IdentifyReply],
     ) -> None:
-        """Say who this replica is and how far it is."""
+        """Return the identity and the state of this replica."""
         await stream.recv_message()
         replica = self.replica
         reply = IdentifyReply(
@@ -74,7 +74,7 @@
         await stream.send_message(reply)
 
     async def Found(self, stream: Stream[FoundRequest, FoundReply]) -> None:
-        """Join a new group."""
+        """Found a group that includes this replica."""
         request = await stream.recv_message()
         assert request is not None
         try:
--- a/packages/control/src/hitchdeck_control/storage/__init__.py
+++ b/packages/control/src/hitchdeck_control/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files under the data folder: identity, log, snapshot."""
+"""Files in the data folder: identity, log and snapshot."""
--- a/packages/control/src/hitchdeck_control/storage/files.py
+++ b/packages/control/src/hitchdeck_control/storage/files.py
@@ -1,11 +1,11 @@
-"""File operations that last: content and folder entry are both synced."""
+"""Durable file operations, which sync both the content and the folder."""
 
 import os
 from pathlib import Path
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync a folder, without which a new or renamed file may vanish."""
+    """Sync a folder, so that new and renamed files in it survive a crash."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -14,7 +14,7 @@
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """Put content at path, whole or not at all."""
+    """Replace the content of a file atomically and durably."""
     temporary = path.with_name(f'{path.name}.new')
     with temporary.open('wb') as stream:
         stream.write(content)
--- a/packages/control/src/hitchdeck_control/storage/identity.py
+++ b/packages/control/src/hitchdeck_control/storage/identity.py
@@ -1,7 +1,7 @@
-"""The replica's identity: one data folder, one identity.
+"""The identity of a replica, which belongs to its data folder.
 
-A box whose disk was lost starts with an empty folder, hence with an identity
-that no membership knows: it can neither vote nor count as the old replica.
+A box that lost its disk starts with an empty folder, and so with a new identity that
+is not in any membership.  It can neither vote nor be counted as the old replica.
 """
 
 import secrets
@@ -16,7 +16,7 @@
 
 
 def open_identity(folder: Path, box: BoxName) -> ReplicaId:
-    """Return the identity kept in a data folder, making one for a new folder."""
+    """Return the identity in a data folder; create one in a new folder."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         sync_folder(folder.parent)
@@ -33,7 +33,7 @@
             raise StorageError(f'{path} belongs to {replica}, not to box {box}')
         return replica
     if any(folder.glob('wal-*')) or any(folder.glob('snapshot')):
-        raise StorageError(f'{folder} holds a log but no {_IDENTITY_FILE} file')
+        raise StorageError(f'{folder} contains a log but no {_IDENTITY_FILE} file')
     replica = ReplicaId(f'{box}#{secrets.token_hex(_RANDOM_BYTES)}')
     replace_file(path, replica.encode())
     return replica
--- a/packages/control/src/hitchdeck_control/storage/log.py
+++ b/packages/control/src/hitchdeck_control/storage/log.py
@@ -1,8 +1,7 @@
-"""The replica's durable log: entries, term, vote and snapshot.
+"""The durable log of a replica: entries, term, vote and snapshot.
 
-Writes are queued in memory and one writer syncs all that is queued as one
-record (group commit).  Nothing may be promised to anybody before ``flush``
-has returned.
+Writes are queued in memory, and one writer syncs all queued writes as one record
+(group commit).  Nothing may be acknowledged before ``flush`` has returned.
 """
 
 import asyncio
@@ -28,16 +27,16 @@
 
 
 class DurableLog:
-    """Log of one replica; indexes start at 1.
+    """Log of a replica; indexes start at 1.
 
     Attributes
     ----------
     entries
-        Entries after the snapshot, the first having ``snapshot.last_index + 1``.
+        Entries after the snapshot; the first has index ``snapshot.last_index + 1``.
     synced_index
-        Last index that survives a crash now.
+        Last index that is synced to disk.
     refused
-        The disk was full at the last write; the next one starts a segment.
+        The last write found the disk full; the next one starts a new segment.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -51,7 +50,7 @@
         self.segment = recovered.segment
         self.stream: FileIO = open_segment(folder, self.segment)
         self.pending: list[LogRecord] = []
-        # Asked for at every beat of every router: not looked up each time.
+        # Cached, since every heartbeat of every router reads it.
         self.cached_members: list[Member] | None = None
         self.disk_error: Exception | None = None
         self.disk_full = False
@@ -69,7 +68,7 @@
         return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Return the term at an index, 0 for the empty start, -1 if unknown."""
+        """Return the term at an index: 0 before the first entry, -1 if unknown."""
         base = int(self.snapshot.last_index)
         if index == base:
             return int(self.snapshot.last_term)
@@ -78,23 +77,25 @@
         return int(self.entries[index - base - 1].term)
 
     def slice(self, start: int, most: int) -> list[Entry]:
-        """Return up to ``most`` entries from index ``start`` on."""
+        """Return up to ``most`` entries, starting at index ``start``."""
         position = start - int(self.snapshot.last_index) - 1
-        assert position >= 0, 'entries before the snapshot are gone'
+        assert position >= 0, 'entries before the snapshot are dropped'
         return self.entries[position : position + most]
 
     def members(self) -> list[Member]:
-        """Return the membership in effect: the latest one in the log."""
+        """Return the membership in effect, which is the latest in the log."""
         if self.cached_members is None:
             self.cached_members = self._find_members()
         return self.cached_members
 
     def append(self, entries: list[Entry]) -> None:
-        """Queue entries; those at known indexes replace the rest from there."""
+        """Queue entries, which replace existing ones from their first index on."""
         if not entries:
             return
         kept_count = int(entries[0].index) - int(self.snapshot.last_index) - 1
-        assert 0 <= kept_count <= len(self.entries), 'no gaps in the log'
+        assert 0 <= kept_count <= len(self.entries), (
+            'entries must follow the log without a gap'
+        )
         replaces = kept_count < len(self.entries)
         if replaces or any(entry.members for entry in entries):
             self.cached_members = None
@@ -114,11 +115,11 @@
         Raises
         ------
         StorageError
-            The disk refused: nothing may be promised now, and if it did not
-            refuse because it was full, nothing any more.
+            The write failed, so nothing may be acknowledged now.  Unless the disk
+            was full, the failure is permanent (``DiskFailedError``).
         """
-        # Shielded: the caller may be a peer's call that times out, and what
-        # it queued was taken off the queue already, together with others'.
+        # Shielded, since the caller may be a peer's call that times out.  Its entries
+        # are already off the queue, together with those of other callers.
         await asyncio.shield(self._flush())
 
     async def compact(self, snapshot: Snapshot) -> None:
@@ -138,14 +139,18 @@
                 await self._write_pending()
 
     async def _rewrite_log(self) -> None:
-        """Write everything into a new segment, after a write found no space.
+        """Write the whole log from memory to a new segment, after a full disk.
 
-        What the old one's tail holds is not known; memory is.
+        The tail of the old segment is in an unknown state.
         """
         self.pending = []
         await self._start_segment()
         self.disk_full = False
-        logs.info('log written anew', folder=str(self.folder), segment=self.segment)
+        logs.info(
+            'log rewritten to a new segment',
+            folder=str(self.folder),
+            segment=self.segment,
+        )
 
     async def _compact(self, snapshot: Snapshot) -> None:
         async with self.write_lock:
@@ -166,7 +171,7 @@
         self.snapshot = snapshot
         self.entries = kept
         self.cached_members = None
-        # What was queued is either in the snapshot or in the new segment.
+        # Queued writes are covered by the snapshot or by the new segment.
         self.pending = []
 
     def _find_members(self) -> list[Member]:
@@ -191,7 +196,7 @@
         self._mark_synced(last)
 
     def _mark_synced(self, last: int) -> None:
-        # Entries that were replaced while the disk worked are not synced.
+        # Entries that were replaced during the write are not synced.
         self.synced_index = min(last, self.last_index)
         for record in self.pending:
             if record.entries:
@@ -218,8 +223,8 @@
             if error.errno == errno.ENOSPC:
                 self.disk_full = True
                 raise StorageError(f'{self.folder}: {error}') from error
-            # After a failed sync the kernel may have dropped the pages: a
-            # second sync that succeeds proves nothing.
+            # After a failed sync the kernel may have dropped the dirty pages, so
+            # a later successful sync doesn't mean that they were written.
             self.disk_error = error
             raise DiskFailedError(f'{self.folder}: {error}') from error
 
@@ -244,8 +249,8 @@
 def _latest_entries(records: list[LogRecord]) -> list[Entry]:
     """Return the entries of a batch, without those replaced within it.
 
-    A reader replaces from the first index of a record on, so a record that
-    held both an entry and its replacement would be read as two entries.
+    Recovery replaces entries only from the first index of a record on, so it would
+    read a record with both an entry and its replacement as two entries.
     """
     entries: list[Entry] = []
     for record in records:
--- a/packages/control/src/hitchdeck_control/storage/records.py
+++ b/packages/control/src/hitchdeck_control/storage/records.py
@@ -1,7 +1,7 @@
 """Framing of log records: length, checksum, payload.
 
-A batch that is synced together is one record, so a crash can tear only the
-last one.  A bad record with anything after it is damage, not a torn write.
+A batch that is synced together is one record, so a crash can tear only the last
+record.  An invalid record that is followed by others means corruption.
 """
 
 import struct
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Where a file stops making sense, in bytes, and if that is its tail."""
+    """Byte offset of an invalid record, and whether it is a torn tail."""
 
     offset: int
     torn_tail: bool
 
 
 def frame(payload: bytes) -> bytes:
-    """Return a payload with its header."""
+    """Return the payload with its header."""
     return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def unframe(content: bytes) -> Iterator[bytes | Damage]:
-    """Yield payloads; a ``Damage`` ends the sequence early."""
+    """Yield the payloads; an invalid record yields ``Damage`` and ends the sequence."""
     offset = 0
     while offset < len(content):
         record = _record_at(content, offset)
@@ -44,8 +44,8 @@
     length, checksum = _HEADER.unpack_from(content, offset)
     end = body + length
     if end > len(content):
-        # A length that was itself damaged would point anywhere; when whole
-        # records still follow, the tail was not merely torn.
+        # The length itself may be corrupt.  If a valid record follows, this is not
+        # a torn tail.
         return Damage(offset, torn_tail=not _record_follows(content, body))
     payload = content[body:end]
     if zlib.crc32(payload) == checksum and length:
--- a/packages/control/src/hitchdeck_control/storage/recovery.py
+++ b/packages/control/src/hitchdeck_control/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Reading a data folder after a start: what is kept, cut off, or refused."""
+"""Recovery of a data folder at startup: reading, truncation and corruption."""
 
 import os
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RecoveredLog:
-    """What a data folder holds."""
+    """State read from a data folder."""
 
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)
@@ -28,7 +28,7 @@
 
 
 def segments_of(folder: Path) -> list[Path]:
-    """Return the log's segments, the oldest first."""
+    """Return the segments of the log, the oldest first."""
     return sorted(folder.glob(_SEGMENT_PATTERN))
 
 
@@ -38,9 +38,10 @@
 
 
 def open_segment(folder: Path, number: int) -> FileIO:
-    """Open a segment to append to it; it is in its folder for good.
+    """Open a segment for appending, and sync its folder entry.
 
-    Unbuffered: what the disk refuses must not be written later by a close.
+    The file is unbuffered, so that closing it can't write data later that the disk
+    rejected.
     """
     try:
         stream = segment_path(folder, number).open('ab', buffering=0)
@@ -56,7 +57,7 @@
     Raises
     ------
     DamagedLogError
-        Something that was synced is damaged; names file and byte.
+        Synced data is corrupt; the message names the file and the byte.
     StorageError
         The folder can't be read.
     """
