--- a/packages/control/src/hitchdeck_control/__init__.py
+++ b/packages/control/src/hitchdeck_control/__init__.py
@@ -1,1 +1,1 @@
-"""The control group: a replicated log and what it decides."""
+"""The control group: a replicated state machine for configuration and claims."""
--- a/packages/control/src/hitchdeck_control/answers.py
+++ b/packages/control/src/hitchdeck_control/answers.py
@@ -1,4 +1,4 @@
-"""Answers to the questions that the leader is asked."""
+"""Replies to queries to the leader."""
 
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_core.ids import ReplicaId
@@ -24,7 +24,7 @@
 
 
 async def answer(leader: Leader, query: Query) -> Message:
-    """Answer a question; raise ``NotLeaderError`` if leadership is lost."""
+    """Answer a query; raise ``NotLeaderError`` if leadership is lost."""
     match query:
         case ListResources():
             return _resources(leader, query)
--- a/packages/control/src/hitchdeck_control/errors.py
+++ b/packages/control/src/hitchdeck_control/errors.py
@@ -4,23 +4,24 @@
 
 
 class StorageError(HitchdeckError):
-    """Raised when the data folder can't be read, written or trusted."""
+    """Raised when the data folder can't be read or written, or is inconsistent."""
 
 
 class DiskFailedError(StorageError):
-    """Raised when a disk failed for good: what it holds can't be known any more."""
+    """Raised after a write error that leaves the contents of the disk unknown."""
 
 
 class DamagedLogError(StorageError):
-    """Raised when a log file is damaged before its end.
+    """Raised when a log file is corrupt before its last record.
 
-    A torn last record is what a crash leaves and is cut off; damage before
-    it means that synced, promised state is gone, and starting would forget it.
+    A crash can leave a torn last record, which is truncated.  Corruption before
+    it means that synced and acknowledged state is lost, so the replica must not
+    start.
     """
 
 
 class NotLeaderError(HitchdeckError):
-    """Raised when this replica can't decide; it names the leader if known."""
+    """Raised when this replica isn't the leader; names the leader if it is known."""
 
     def __init__(self, leader_address: str) -> None:
         super().__init__(f'not the leader; try {leader_address or "another"}')
@@ -28,11 +29,11 @@
 
 
 class OutcomeUnknownError(HitchdeckError):
-    """Raised when leadership was lost before a proposal's fate was known."""
+    """Raised when leadership was lost before a proposal's outcome was known."""
 
 
 class OrderError(HitchdeckError):
-    """Raised when an upstream did not take an order; it may be sent again.
+    """Raised when an upstream did not accept an order; the order may be retried.
 
     ``retry_after`` is the upstream's ``Retry-After`` in seconds.
     """
@@ -43,4 +44,4 @@
 
 
 class MembershipError(HitchdeckError):
-    """Raised when a membership change may not be made now."""
+    """Raised when a membership change is not possible now."""
--- a/packages/control/src/hitchdeck_control/process.py
+++ b/packages/control/src/hitchdeck_control/process.py
@@ -1,4 +1,4 @@
-"""Puts a control replica together and runs it."""
+"""Assembly and startup of a control replica."""
 
 import hmac
 from collections.abc import Iterable
@@ -45,7 +45,7 @@
     supervisor: Supervisor
 
     async def stop(self) -> None:
-        """Stop serving, then the tasks, then close the files."""
+        """Stop the server, then the tasks, then close the files."""
         self.server.close()
         await self.supervisor.stop()
         self.peer_client.close()
@@ -58,16 +58,16 @@
     Raises
     ------
     StorageError
-        The data folder can't be used.
+        The data folder is unusable.
     """
     section = settings.control
-    assert section is not None, 'settings are checked before'
+    assert section is not None, 'settings are validated before'
     replica, machine = _open_replica(settings, section)
     leader = Leader(replica, machine, section.router_lease)
     peer_client = PeerClient(
         settings.fleet_token, section.election_timeout, replica.scheduling_delay
     )
-    # A full disk is none of these: its task starts again until there is space.
+    # A full disk is not fatal: the task is restarted until there is space.
     supervisor = Supervisor('control', fatal=(DiskFailedError,))
     supervisor.permanent('election', lambda: run_elections(replica, peer_client))
     supervisor.permanent(
--- a/packages/control/src/hitchdeck_control/service.py
+++ b/packages/control/src/hitchdeck_control/service.py
@@ -1,4 +1,4 @@
-"""The ``Control`` calls: operators' commands, questions, routers' streams."""
+"""The ``Control`` service: commands and queries of operators, routers' streams."""
 
 from grpclib.const import Status as GrpcStatus
 from grpclib.exceptions import GRPCError
@@ -33,13 +33,13 @@
 
 
 class ControlService(ControlBase):
-    """Serves the ``Control`` calls of one replica."""
+    """Implements the ``Control`` service of a replica."""
 
     def __init__(self, leader: Leader) -> None:
         self.leader = leader
 
     async def Execute(self, stream: Stream[ExecuteRequest, ExecuteReply]) -> None:
-        """Commit one command."""
+        """Commit a command."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -54,7 +54,7 @@
         await stream.send_message(ExecuteReply(outcome=encoded))
 
     async def Read(self, stream: Stream[ReadRequest, ReadReply]) -> None:
-        """Answer one question, from state that no later leader has changed."""
+        """Answer a query, linearizably: leadership is checked before and after."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -71,11 +71,11 @@
         await stream.send_message(ReadReply(answer=answer.model_dump_json().encode()))
 
     async def Watch(self, stream: Stream[RouterBeat, ControlFrame]) -> None:
-        """Serve one router's stream."""
+        """Serve a router's stream."""
         await serve_router(self.leader, stream)
 
     async def Replace(self, stream: Stream[ReplaceRequest, ReplaceReply]) -> None:
-        """Put a replica with a new disk in the place of its box's old one."""
+        """Replace the replica of a box by one with a new disk."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -104,7 +104,7 @@
 
 
 def check_command(command: Command) -> None:
-    """Raise ``ResourceError`` for a command that must not enter the log."""
+    """Raise ``ResourceError`` if a command must not be appended to the log."""
     writes = getattr(command, 'changes', (command,))
     for write in writes:
         if isinstance(write, Put) and isinstance(write.resource, Rule):
