--- a/packages/control/src/hitchdeck_control/raft/replica.py
+++ b/packages/control/src/hitchdeck_control/raft/replica.py
@@ -309,9 +309,7 @@
         if proposal is None or proposal.outcome.done():
             return
         if proposal.term != entry.term:
-            proposal.outcome.set_exception(
-                OutcomeUnknownError('entry overwritten by another leader')
-            )
+            proposal.outcome.set_exception(OutcomeUnknownError('overwritten'))
         else:
             proposal.outcome.set_result(outcome)  # type: ignore[arg-type]
 
