--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -118,7 +118,7 @@
             self.machine.version_changed.notify()
 
     async def assign_shards(self) -> None:
-        """Assign every shard to a live router, in a loop that doesn't end."""
+        """Keep every shard assigned to a live router, until cancelled."""
         while True:
             await self.routers.roster_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
             try:
--- a/packages/control/src/hitchdeck_control/fleet/orders.py
+++ b/packages/control/src/hitchdeck_control/fleet/orders.py
@@ -57,7 +57,7 @@
         self.in_progress: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Send all open orders, in a loop that doesn't end."""
+        """Send open orders until cancelled."""
         while True:
             await self.leader.machine.version_changed.wait(_POLL_SECONDS)
             try:
@@ -113,7 +113,7 @@
     ) -> FinishOrder:
         last_failure = ''
         for _ in range(_MAX_ATTEMPTS):
-            # Directly before the call: nothing awaits between.
+            # Checked right before the call, without an ``await`` in between.
             self.leader.check_leads()
             term = self.leader.replica.term
             try:
--- a/packages/control/src/hitchdeck_control/raft/delays.py
+++ b/packages/control/src/hitchdeck_control/raft/delays.py
@@ -16,7 +16,7 @@
 
     Parameters
     ----------
-    most
+    max_delay
         Limit of one delay in seconds, so that a suspension has no lasting effect.
 
     Attributes
--- a/packages/control/src/hitchdeck_control/raft/replica.py
+++ b/packages/control/src/hitchdeck_control/raft/replica.py
@@ -113,8 +113,9 @@
         self.scheduling_delay = SchedulingDelay(now, timing.election_timeout)
         self.role = Role.follower
         self.leader_id = ReplicaId('')
-        # Just before its restart the replica may have been in contact with a
-        # leader, whose lease relies on it.  So it starts as if it had been.
+        # Just before a restart this replica may have acknowledged a leader, whose
+        # lease relies on the replica granting no vote for a while.  So it starts as
+        # if it had just been in contact with a leader.
         self.last_contact_at = now()
         self.leadership: Leadership | None = None
         self.commit_index = int(log.snapshot.last_index)
@@ -164,7 +165,7 @@
         times = sorted(
             self._contact_with(ReplicaId(member.replica)) for member in self.voters()
         )
-        # A majority was in contact at or after the lower median.
+        # A majority of the times is at or after the lower median.
         return times[(len(times) - 1) // 2]
 
     def has_lease(self) -> bool:
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -43,7 +43,7 @@
 
 
 async def apply_log(replica: Replica) -> None:
-    """Apply committed entries and take snapshots, in a loop that doesn't end."""
+    """Apply committed entries and take snapshots, until cancelled."""
     while True:
         if replica.applied_index >= replica.commit_index:
             await replica.committed.wait(replica.timing.heartbeat)
--- a/packages/control/src/hitchdeck_control/storage/log.py
+++ b/packages/control/src/hitchdeck_control/storage/log.py
@@ -35,7 +35,7 @@
         Entries after the snapshot; the first has index ``snapshot.last_index + 1``.
     synced_index
         Last index that is synced to disk.
-    refused
+    disk_full
         The last write found the disk full; the next one starts a new segment.
     """
 
--- a/packages/core/src/hitchdeck_core/backpressure.py
+++ b/packages/core/src/hitchdeck_core/backpressure.py
@@ -1,6 +1,6 @@
 """Backpressure that upstreams apply to this process.
 
-An upstream asks for a pause, or announces its shutdown, in a response.  The signal
+In a response, an upstream asks for a backoff or announces its shutdown.  The signal
 is meant for the process that receives the response: the upstream may still accept
 requests from others.  Each process therefore keeps what it received to itself,
 applies it whichever component chose the upstream, and loses it when it exits.
--- a/packages/core/src/hitchdeck_core/loop_load.py
+++ b/packages/core/src/hitchdeck_core/loop_load.py
@@ -21,9 +21,9 @@
 """Messages carry utilization in hundredths."""
 
 MAX_POLL_SECONDS = 0.25
-"""Limit of one wait for events.  The wait is timed by the monotonic clock, while
-timers use the boot clock; without the limit, timers that became due during a
-suspension would fire half a second late."""
+"""Limit of one wait for events.  The wait is timed by the monotonic clock and timers
+by the boot clock, so a timer that becomes due during a suspension may fire late by
+up to this limit.  Half a second would be too late."""
 
 LAG_SECONDS = 0.5
 """Time constant of the lag average."""
@@ -43,8 +43,8 @@
     Attributes
     ----------
     longest_turn
-        Longest turn since this was last read, in seconds.  Events that arrive
-        during a turn are noticed only at its end.
+        Longest turn since ``take_longest_turn`` was last called, in seconds.  Events
+        that arrive during a turn are noticed only at its end.
     lag
         Mean turn in seconds, weighted by length: the expected time for which an
         event that arrives at a random moment waits for the turn to end.
--- a/packages/core/src/hitchdeck_core/resources.py
+++ b/packages/core/src/hitchdeck_core/resources.py
@@ -102,8 +102,8 @@
 
     ``urgent_overcommit`` is the number of urgent requests that an upstream may
     run above its slots; ``queue_limit`` bounds the queued requests of each
-    account in each shard; a pool that is not ``repeatable`` accepts only reads
-    without an idempotency key.
+    account in each shard; a pool that is not ``repeatable`` requires an
+    idempotency key for all requests except reads.
     """
 
     kind: Literal['pool'] = 'pool'
--- a/packages/core/src/hitchdeck_core/retry_after.py
+++ b/packages/core/src/hitchdeck_core/retry_after.py
@@ -20,7 +20,7 @@
 
 
 def requested_backoff(status: int, header: str) -> float:
-    """Return the backoff that a response asks for in seconds, 0 for none."""
+    """Return the backoff in seconds that a response asks for, 0 for none."""
     return parse_retry_after(header) if status in RETRY_AFTER_STATUSES else 0
 
 
