--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.quarantine.messages import encode_update
 from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.links.attend import (
     StreamHandlers,
     box_idle_interval,
@@ -36,7 +36,7 @@
         self,
         settings: EntrySettings,
         known: FleetState,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         targets: ReliefTargets,
     ) -> None:
         self.settings = settings
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.connections import Connections
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
@@ -147,7 +147,7 @@
     fleet_state: FleetState,
     book: KnownHubs,
 ) -> Dispatcher:
-    budget = RepeatBudget(
+    budget = RetryBudget(
         settings.retry_share,
         settings.retry_extra,
         settings.retry_window,
