--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -32,7 +32,7 @@
 from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.scheduling.chooser import Chooser
 
-STALE_ANSWERS = 2
+MAX_STALE_RESPONSES = 2
 """Answers to earlier requests that are skipped on one connection."""
 
 
@@ -51,7 +51,7 @@
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
-        self.crash_detector = CrashDetector(quarantine, self._note_crash)
+        self.crash_detector = CrashDetector(quarantine, self._avoid_crashed)
         self.backpressure = chooser.backpressure
         self.domain = chooser.domain
         self.connections = connections
@@ -70,8 +70,8 @@
             if active.caller.has_disconnected():
                 self.connections.return_unused(choice.upstream.name, connection)
                 raise CallerDisconnectedError('closed before the request was sent')
-            self._check_wanted(choice, connection)
-            self._send_on(active, attempt, connection)
+            self._check_accepting(choice, connection)
+            self._send_request(active, attempt, connection)
             await self._receive(active, attempt, connection)
         except UpstreamNotAcceptingError as error:
             logs.info(
@@ -83,16 +83,16 @@
             return False
         except NotSentError as error:
             active.unreached_count += 1
-            self._note_unreached(context, choice, error)
+            self._record_unreached(context, choice, error)
             return False
         except IncompleteResponseError as error:
             attempt.reason = str(error)
         finally:
             self._close_attempt(attempt, connection)
-        self._judge(active, attempt)
+        self._record_outcome(active, attempt)
         return True
 
-    def doubt(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def check_ended(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.crash_detector.record_broken_response(
@@ -101,7 +101,7 @@
             partial(self.connections.is_reachable, upstream),
         )
 
-    def leave(self, record: Upstream, newer: Upstream) -> None:
+    def replace(self, record: Upstream, newer: Upstream) -> None:
         """Await nothing of a life that another one has replaced.
 
         Where the address stayed the same, the new life's kernel resets what the
@@ -114,7 +114,7 @@
         self.crash_detector.confirm_crash(record.incarnation)
         self.backpressure.pass_on(record.name, newer.name)
 
-    def _note_crash(self, incarnation: LifeId) -> None:
+    def _avoid_crashed(self, incarnation: LifeId) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
         self.placement.health.record_crash(UpstreamName(incarnation))
 
@@ -135,7 +135,7 @@
         if connection.busy:
             connection.abort()
 
-    def _check_wanted(self, choice: Choice, connection: Connection) -> None:
+    def _check_accepting(self, choice: Choice, connection: Connection) -> None:
         """Raise ``UpstreamNotAcceptingError`` if an upstream wants nothing any more.
 
         It may have said so while the request waited for the scheduler's answer
@@ -149,7 +149,7 @@
             self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(f'{name} may get no new work')
 
-    def _send_on(
+    def _send_request(
         self,
         active: ActiveRequest,
         attempt: Attempt,
@@ -157,7 +157,7 @@
     ) -> None:
         self.connections.mark_busy(attempt.upstream, connection)
         connection.send(self._upstream_request(active.context, attempt.choice))
-        self._note_sent(active, attempt)
+        self._record_sent(active, attempt)
 
     def _upstream_request(
         self, context: RequestContext, choice: Choice
@@ -177,7 +177,7 @@
             context.body,
         )
 
-    def _note_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def _record_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
         context = active.context
         context.sent += 1
         context.may_have_run = True
@@ -192,7 +192,7 @@
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._own_head(active.context, attempt, connection)
+        head = await self._read_matching_head(active.context, attempt, connection)
         attempt.head = head
         mark = self.adapter.read_answer(head.status, head.headers)
         attempt.pause = mark.backoff
@@ -222,19 +222,19 @@
         def on_event() -> None:
             if attempt.ticket.reading:
                 attempt.first_event = self.now() - attempt.started_at
-                self._note_start(active.context, attempt)
+                self._record_first_event(active.context, attempt)
 
         attempt.streamed = True
         await active.relay.forward(connection, head, on_event)
         attempt.outcome = AttemptOutcome.answered
 
-    def _note_start(self, context: RequestContext, attempt: Attempt) -> None:
+    def _record_first_event(self, context: RequestContext, attempt: Attempt) -> None:
         attempt.ticket.start()
         self.link.record_start(attempt.number)
         if busy_part() <= OVERLOADED_UTILIZATION:
             self.placement.measure(attempt.ticket, context.placement_query(self.domain))
 
-    async def _own_head(
+    async def _read_matching_head(
         self,
         context: RequestContext,
         attempt: Attempt,
@@ -244,10 +244,10 @@
 
         An answer to an earlier one may come late on a kept connection.
         """
-        for _ in range(STALE_ANSWERS):
+        for _ in range(MAX_STALE_RESPONSES):
             head = await connection.read_head()
             mark = self.adapter.read_answer(head.status, head.headers)
-            self._heed(attempt.upstream, mark)
+            self._apply_backpressure(attempt.upstream, mark)
             if mark.request in {'', context.call.request}:
                 return head
             await connection.read_body()
@@ -260,7 +260,7 @@
                 break
         raise IncompleteResponseError('only answers to other requests came')
 
-    def _heed(self, name: UpstreamName, mark: ResponseMarks) -> None:
+    def _apply_backpressure(self, name: UpstreamName, mark: ResponseMarks) -> None:
         """Keep to what an upstream asks for in an answer, to whichever request."""
         # 438 requests went to upstreams that had asked this box for a pause,
         # within five seconds of load.
@@ -269,7 +269,7 @@
         if mark.leaving:
             self.backpressure.leave(name)
 
-    def _judge(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def _record_outcome(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
         if attempt.outcome in {AttemptOutcome.answered, AttemptOutcome.failed}:
@@ -280,7 +280,7 @@
         if attempt.outcome is AttemptOutcome.broken:
             health.record_failure(attempt.upstream, attempt.reason)
             self.link.report_failure(attempt.upstream)
-            self.doubt(active, attempt)
+            self.check_ended(active, attempt)
         else:
             health.record_error(attempt.upstream)
         if attempt.outcome is AttemptOutcome.not_run:
@@ -299,7 +299,7 @@
             decided_by=active.context.decided_by,
         )
 
-    def _note_unreached(
+    def _record_unreached(
         self,
         context: RequestContext,
         choice: Choice,
