--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -92,7 +92,7 @@
         self._record_outcome(active, attempt)
         return True
 
-    def check_ended(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def check_for_crash(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.crash_detector.record_broken_response(
@@ -195,7 +195,7 @@
         head = await self._read_matching_head(active.context, attempt, connection)
         attempt.head = head
         mark = self.adapter.read_answer(head.status, head.headers)
-        attempt.pause = mark.backoff
+        attempt.backoff = mark.backoff
         attempt.leaving = mark.leaving
         if mark.other_incarnation:
             self.placement.health.record_wrong_upstream(attempt.upstream)
@@ -280,7 +280,7 @@
         if attempt.outcome is AttemptOutcome.broken:
             health.record_failure(attempt.upstream, attempt.reason)
             self.link.report_failure(attempt.upstream)
-            self.check_ended(active, attempt)
+            self.check_for_crash(active, attempt)
         else:
             health.record_error(attempt.upstream)
         if attempt.outcome is AttemptOutcome.not_run:
@@ -294,7 +294,7 @@
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
             attempt=active.context.sent,
-            pause=attempt.pause,
+            pause=attempt.backoff,
             leaving=attempt.leaving,
             decided_by=active.context.decided_by,
         )
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -48,7 +48,7 @@
 
     settings: EntrySettings
     link: EntryLink
-    book: KnownHubs
+    known_hubs: KnownHubs
     admission: Admission
     caller_server: CallerServer
     graceful_stop: GracefulStop
@@ -117,15 +117,15 @@
     """Start an entry box that speaks a platform's dialect."""
     fleet_state = new_fleet_state(settings, adapter)
     seeds = map(Address, settings.seeds)
-    book = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, adapter, fleet_state, book)
+    known_hubs = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    dispatcher = _dispatcher(settings, adapter, fleet_state, known_hubs)
     graceful_stop = GracefulStop(settings.stop_grace, boot_seconds)
     admission = Admission(adapter, fleet_state, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
         link=EntryLink(settings, fleet_state, dispatcher.budget, targets),
-        book=book,
+        known_hubs=known_hubs,
         admission=admission,
         caller_server=CallerServer(
             admission.start_serving,
@@ -145,7 +145,7 @@
     settings: EntrySettings,
     adapter: PlatformAdapter,
     fleet_state: FleetState,
-    book: KnownHubs,
+    known_hubs: KnownHubs,
 ) -> Dispatcher:
     budget = RetryBudget(
         settings.retry_share,
@@ -155,7 +155,7 @@
     )
     link = PlacingLink(
         settings.box,
-        book,
+        known_hubs,
         fleet_state.registry,
         settings.fleet_token,
         fleet_state.scheduler.shares,
@@ -181,8 +181,8 @@
     if settings.metrics_listen is not None:
         figures = metrics_page(box.admission.metrics.render)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
-    handlers = box.link.stream_handlers(box.book)
-    streams = HubStreams(box.book, handlers, settings.fleet_token)
+    handlers = box.link.stream_handlers(box.known_hubs)
+    streams = HubStreams(box.known_hubs, handlers, settings.fleet_token)
     box.supervisor.permanent('hubs', streams.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
