--- a/bench/settling.py
+++ b/bench/settling.py
@@ -13,7 +13,7 @@
 
 from bench.common import append_row, listed
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import PoolName, UpstreamIncarnation, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.links.records import decode_upstreams, encode_upstream
@@ -134,7 +134,7 @@
         fleet.records_sent = 0
     for place, name in enumerate(names):
         for suspecting in random.sample(fleet.registries[:hubs], 2):
-            suspecting.suspect(LifeId(name))
+            suspecting.suspect(UpstreamIncarnation(name))
         fleet.exchange()
         fleet.hubs[place % hubs].report(
             report(name, 2, address=f'10.0.0.1:{place + 1}')
--- a/packages/core/src/hitchdeck_core/ids.py
+++ b/packages/core/src/hitchdeck_core/ids.py
@@ -17,7 +17,7 @@
 InstanceName = NewType('InstanceName', str)
 """What an upstream calls itself in its reports, in each of its lives."""
 
-LifeId = NewType('LifeId', str)
+UpstreamIncarnation = NewType('UpstreamIncarnation', str)
 """One life of an upstream, from one start to its end."""
 
 SessionName = NewType('SessionName', str)
--- a/packages/core/src/hitchdeck_core/quarantine/casualties.py
+++ b/packages/core/src/hitchdeck_core/quarantine/casualties.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
 MIN_CRASHES = 3
@@ -25,7 +25,7 @@
     """An upstream's life that ended while a content was open there."""
 
     fingerprint: Fingerprint
-    incarnation: LifeId
+    incarnation: UpstreamIncarnation
 
 
 class CrashHistory:
@@ -33,8 +33,12 @@
 
     def __init__(self, now: Clock) -> None:
         self.now = now
-        self.by_fingerprint: dict[Fingerprint, set[LifeId]] = defaultdict(set)
-        self.by_incarnation: dict[LifeId, set[Fingerprint]] = defaultdict(set)
+        self.by_fingerprint: dict[Fingerprint, set[UpstreamIncarnation]] = defaultdict(
+            set
+        )
+        self.by_incarnation: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(
+            set
+        )
         self.order: deque[tuple[float, CrashRecord]] = deque()
 
     def add(self, crash: CrashRecord) -> bool:
@@ -70,7 +74,7 @@
         for incarnation in list(self.by_fingerprint.get(fingerprint, ())):
             self._forget(CrashRecord(fingerprint, incarnation))
 
-    def _is_explained(self, incarnation: LifeId, times: int) -> bool:
+    def _is_explained(self, incarnation: UpstreamIncarnation, times: int) -> bool:
         """Tell whether another content of a life was at more ends than ``times``."""
         return any(
             len(self.by_fingerprint[one]) > times
--- a/packages/core/src/hitchdeck_core/quarantine/endings.py
+++ b/packages/core/src/hitchdeck_core/quarantine/endings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core import logs
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.supervisor import Supervisor
@@ -44,16 +44,16 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        on_crash: Callable[[LifeId], object],
+        on_crash: Callable[[UpstreamIncarnation], object],
     ) -> None:
         self.quarantine = quarantine
         self.on_crash = on_crash
-        self.probed: dict[LifeId, set[Fingerprint]] = defaultdict(set)
-        self.suspected: dict[LifeId, SuspectedCrash] = {}
+        self.probed: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(set)
+        self.suspected: dict[UpstreamIncarnation, SuspectedCrash] = {}
         self.tasks = Supervisor('endings')
 
     def record_broken_response(
-        self, incarnation: LifeId, fingerprint: Fingerprint, probe: Probe
+        self, incarnation: UpstreamIncarnation, fingerprint: Fingerprint, probe: Probe
     ) -> None:
         """Note that no whole answer to a content came from an upstream."""
         already_probed = incarnation in self.probed
@@ -61,7 +61,7 @@
         if not already_probed:
             self.tasks.temporary(incarnation, self._probe(incarnation, probe))
 
-    def confirm_crash(self, incarnation: LifeId) -> None:
+    def confirm_crash(self, incarnation: UpstreamIncarnation) -> None:
         """Note that a life has surely ended, as its next one is known."""
         self._expire()
         crash = self.suspected.pop(incarnation, None)
@@ -71,7 +71,7 @@
         if in_flight:
             self.quarantine.record_crash(incarnation, in_flight)
 
-    async def _probe(self, incarnation: LifeId, probe: Probe) -> None:
+    async def _probe(self, incarnation: UpstreamIncarnation, probe: Probe) -> None:
         try:
             alive = await probe()
         finally:
@@ -90,7 +90,9 @@
         self.on_crash(incarnation)
         self.quarantine.record_crash(incarnation, in_flight)
 
-    def _suspect(self, incarnation: LifeId, in_flight: set[Fingerprint]) -> None:
+    def _suspect(
+        self, incarnation: UpstreamIncarnation, in_flight: set[Fingerprint]
+    ) -> None:
         self._expire()
         before = self.suspected.pop(incarnation, None)
         known = before.in_flight if before else frozenset()
--- a/packages/core/src/hitchdeck_core/quarantine/messages.py
+++ b/packages/core/src/hitchdeck_core/quarantine/messages.py
@@ -1,6 +1,6 @@
 """News of quarantined contents as they travel between processes."""
 
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.casualties import CrashRecord
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import QuarantineUpdate
@@ -37,7 +37,7 @@
     """Return the news of a message, at a moment of the receiver's clock."""
     return QuarantineUpdate(
         tuple(
-            CrashRecord(Fingerprint(one.content), LifeId(one.life))
+            CrashRecord(Fingerprint(one.content), UpstreamIncarnation(one.life))
             for one in message.casualties
         ),
         tuple(_verdict(one, now) for one in message.verdicts),
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -12,7 +12,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.casualties import (
     MAX_CRASH_RECORDS,
     CrashHistory,
@@ -81,7 +81,7 @@
         return self.verdicts.is_quarantined(fingerprint)
 
     def record_crash(
-        self, incarnation: LifeId, in_flight: Collection[Fingerprint]
+        self, incarnation: UpstreamIncarnation, in_flight: Collection[Fingerprint]
     ) -> None:
         """Note that an upstream ended under what was open there."""
         logs.warning(
@@ -105,7 +105,7 @@
             self.answered.popitem(last=False)
         self._clear(fingerprint)
 
-    def merge(self, update: QuarantineUpdate, origin: str) -> set[LifeId]:
+    def merge(self, update: QuarantineUpdate, origin: str) -> set[UpstreamIncarnation]:
         """Take what another process tells; return the lives whose end is news."""
         for verdict in update.verdicts:
             self._merge_verdict(verdict, origin)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -6,7 +6,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, UpstreamName
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.endings import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import (
@@ -114,7 +114,7 @@
         self.crash_detector.confirm_crash(record.incarnation)
         self.backpressure.pass_on(record.name, newer.name)
 
-    def _avoid_crashed(self, incarnation: LifeId) -> None:
+    def _avoid_crashed(self, incarnation: UpstreamIncarnation) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
         self.placement.health.record_crash(UpstreamName(incarnation))
 
--- a/packages/edge/src/hitchdeck_edge/model/upstreams.py
+++ b/packages/edge/src/hitchdeck_edge/model/upstreams.py
@@ -6,8 +6,8 @@
 from hitchdeck_core.ids import (
     Address,
     InstanceName,
-    LifeId,
     PoolName,
+    UpstreamIncarnation,
     UpstreamName,
 )
 
@@ -76,9 +76,9 @@
         return (self.born, self.name)
 
     @property
-    def incarnation(self) -> LifeId:
+    def incarnation(self) -> UpstreamIncarnation:
         """Return what tells this life from every other one."""
-        return LifeId(self.name)
+        return UpstreamIncarnation(self.name)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/edge/src/hitchdeck_edge/state/registry.py
+++ b/packages/edge/src/hitchdeck_edge/state/registry.py
@@ -13,7 +13,13 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import Address, InstanceName, LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import (
+    Address,
+    InstanceName,
+    PoolName,
+    UpstreamIncarnation,
+    UpstreamName,
+)
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.upstreams import Phase, Suspicion, Upstream, incarnation_name
 from hitchdeck_edge.state.cold import ColdUpstreams
@@ -188,7 +194,7 @@
                 logs.warning('upstream silent', upstream=name, seconds=limit)
                 self._raise_suspicion(record)
 
-    def suspect(self, incarnation: LifeId) -> None:
+    def suspect(self, incarnation: UpstreamIncarnation) -> None:
         """Suspect that an incarnation has crashed, until its next report."""
         record = self.records.get(UpstreamName(incarnation))
         if record is not None:
--- a/packages/router/src/hitchdeck_router/dispatch/ends.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ends.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from hitchdeck_core.clock import wall_seconds
-from hitchdeck_core.ids import LifeId, UpstreamName
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.endings import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
@@ -20,13 +20,15 @@
 _UNAVAILABLE = 503
 
 
-def incarnation_of(name: UpstreamName) -> LifeId:
+def incarnation_of(name: UpstreamName) -> UpstreamIncarnation:
     """Return the life of an upstream that ends now, the same at every router.
 
     Two clocks that differ may name two, and then two ends are enough in place
     of three.
     """
-    return LifeId(f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}')
+    return UpstreamIncarnation(
+        f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}'
+    )
 
 
 def crash_detector_of(quarantine: Quarantine) -> CrashDetector:
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -15,7 +15,7 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId
+from hitchdeck_core.ids import Address, UpstreamIncarnation
 from hitchdeck_core.quarantine.endings import CrashDetector, Probe
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
@@ -58,11 +58,11 @@
 async def test_an_end_that_still_took_a_connection_is_found(
     asker: Callable[[Address], Probe],
 ) -> None:
-    ended: list[LifeId] = []
+    ended: list[UpstreamIncarnation] = []
     crash_detector = CrashDetector(Quarantine(boot_seconds, Signal()), ended.append)
     reaches = asker(await Ending().listen())
     crash_detector.record_broken_response(
-        LifeId('e0'), fingerprint_of(b'lethal'), reaches
+        UpstreamIncarnation('e0'), fingerprint_of(b'lethal'), reaches
     )
     async with asyncio.timeout(SECONDS):
         while not ended:
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.casualties import (
     CRASH_TTL_SECONDS,
     MAX_CRASH_RECORDS,
@@ -53,7 +53,7 @@
 
 def end_lives(quarantine: Quarantine, *open_there: tuple[Fingerprint, ...]) -> None:
     for number, there in enumerate(open_there):
-        quarantine.record_crash(LifeId(f'e{number}'), there)
+        quarantine.record_crash(UpstreamIncarnation(f'e{number}'), there)
 
 
 def verdict_of(number: int, standing: VerdictStatus, since: float = 1000.0) -> Verdict:
@@ -95,7 +95,7 @@
 def test_one_end_counts_once_however_many_boxes_saw_it() -> None:
     quarantine = quarantine_by(ByHand())
     for _ in range(5):
-        quarantine.record_crash(LifeId('e0'), [LETHAL])
+        quarantine.record_crash(UpstreamIncarnation('e0'), [LETHAL])
     assert not quarantine.is_quarantined(LETHAL)
 
 
@@ -104,17 +104,17 @@
     quarantine = quarantine_by(clock)
     end_lives(quarantine, (LETHAL,), (LETHAL,))
     clock.seconds += CRASH_TTL_SECONDS + 1
-    quarantine.record_crash(LifeId('late'), [LETHAL])
+    quarantine.record_crash(UpstreamIncarnation('late'), [LETHAL])
     assert not quarantine.is_quarantined(LETHAL)
 
 
 def test_what_is_remembered_of_ends_is_bounded() -> None:
     crashes = CrashHistory(float)
     for number in range(MAX_CRASH_RECORDS + 100):
-        crashes.add(CrashRecord(Fingerprint(b'%d' % number), LifeId('e')))
+        crashes.add(CrashRecord(Fingerprint(b'%d' % number), UpstreamIncarnation('e')))
     assert len(crashes.order) == MAX_CRASH_RECORDS
     assert len(crashes.by_fingerprint) == MAX_CRASH_RECORDS
-    assert len(crashes.by_incarnation[LifeId('e')]) == MAX_CRASH_RECORDS
+    assert len(crashes.by_incarnation[UpstreamIncarnation('e')]) == MAX_CRASH_RECORDS
 
 
 def test_verdicts_are_bounded() -> None:
@@ -183,11 +183,11 @@
     quarantine = quarantine_by(ByHand())
     end_lives(quarantine, (LETHAL,), (LETHAL,))
     first, told = quarantine.update_since(SYNC_START)
-    quarantine.record_crash(LifeId('third'), [LETHAL])
+    quarantine.record_crash(UpstreamIncarnation('third'), [LETHAL])
     second, told = quarantine.update_since(told)
     third, _ = quarantine.update_since(told)
     assert len(first.crashes) == 2
-    assert second.crashes == (CrashRecord(LETHAL, LifeId('third')),)
+    assert second.crashes == (CrashRecord(LETHAL, UpstreamIncarnation('third')),)
     assert [one.status for one in second.verdicts] == [VerdictStatus.quarantined]
     assert third == QuarantineUpdate((), ())
 
@@ -242,7 +242,7 @@
     reached: bool,
 ) -> None:
     quarantine = quarantine_by(ByHand())
-    ended: list[LifeId] = []
+    ended: list[UpstreamIncarnation] = []
     asked = count()
     crash_detector = CrashDetector(quarantine, ended.append)
 
@@ -250,8 +250,8 @@
         next(asked)
         return reached
 
-    crash_detector.record_broken_response(LifeId('e0'), LETHAL, reaches)
-    crash_detector.record_broken_response(LifeId('e0'), SOUND, reaches)
+    crash_detector.record_broken_response(UpstreamIncarnation('e0'), LETHAL, reaches)
+    crash_detector.record_broken_response(UpstreamIncarnation('e0'), SOUND, reaches)
     await crash_detector.tasks.tasks['e0-1']
     assert next(asked) == 1
     assert ended == ([] if reached else ['e0'])
@@ -271,8 +271,8 @@
     async def reaches() -> bool:
         return True
 
-    crash_detector.record_broken_response(LifeId('e0'), LETHAL, reaches)
+    crash_detector.record_broken_response(UpstreamIncarnation('e0'), LETHAL, reaches)
     await crash_detector.tasks.tasks['e0-1']
     clock.seconds += seconds
-    crash_detector.confirm_crash(LifeId('e0'))
+    crash_detector.confirm_crash(UpstreamIncarnation('e0'))
     assert bool(quarantine.own_crashes) is counted
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import Address, PoolName, UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
@@ -85,7 +85,7 @@
     lethal = Fingerprint(b'lethal')
     before = Quarantine(boot_seconds, Signal())
     for number in range(3):
-        before.record_crash(LifeId(f'e{number}'), [lethal])
+        before.record_crash(UpstreamIncarnation(f'e{number}'), [lethal])
     await until_written(quarantine_file(tmp_path, before))
     after = Quarantine(boot_seconds, Signal())
     quarantine_file(tmp_path, after).restore()
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bench.settling import PERIOD, POOL, Fleet, report, view_of
-from hitchdeck_core.ids import InstanceName, LifeId, UpstreamName
+from hitchdeck_core.ids import InstanceName, UpstreamIncarnation, UpstreamName
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.links.records import decode_suspicion, encode_suspicion
 from hitchdeck_edge.state.registry import Registry
@@ -98,7 +98,7 @@
 
 def suspect(registry: Registry, instance: str) -> None:
     known = registry.latest_incarnation(InstanceName(instance))
-    registry.suspect(LifeId(known.name if known else instance))
+    registry.suspect(UpstreamIncarnation(known.name if known else instance))
 
 
 @given(EVENTS, st.integers(0, 2**16))
@@ -122,7 +122,7 @@
     fleet = fleet_of()
     fleet.hubs[0].report(report('e0', 1))
     assert fleet.settle(Random(0), 2 * len(fleet.links))
-    fleet.registries[0].suspect(LifeId('e0'))
+    fleet.registries[0].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     # Another hub hears of the upstream while the suspicion is on its way.
     fleet.registries[1].hear(UpstreamName('e0'))
@@ -144,7 +144,7 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     # Unchanged reports are not passed on: the others still know the first one.
     fleet.hubs[reporter].report(report('e0', 2))
-    fleet.registries[suspecting].suspect(LifeId('e0'))
+    fleet.registries[suspecting].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     fleet.hubs[reporter].report(report('e0', 3))
     for _ in range(2):
@@ -159,7 +159,7 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     fleet.links = list(product(range(HUBS), range(HUBS, HUBS + BOXES)))
     fleet.hubs[0].report(report('e0', 2))
-    fleet.registries[1].suspect(LifeId('e0'))
+    fleet.registries[1].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     boxes = fleet.registries[HUBS:]
     assert all(box.serving(POOL)[0].unresponsive for box in boxes)
