--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -112,7 +112,7 @@
         else:
             self.connections.abort_all(record.name)
         self.crash_detector.confirm_crash(record.incarnation)
-        self.backpressure.pass_on(record.name, newer.name)
+        self.backpressure.transfer_backoff(record.name, newer.name)
 
     def _avoid_crashed(self, incarnation: UpstreamIncarnation) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
@@ -142,7 +142,7 @@
         and for a connection.
         """
         name = choice.upstream.name
-        if not self.backpressure.wants_requests(name):
+        if not self.backpressure.accepts_requests(name):
             self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(f'{name} asked for a pause, or leaves')
         if not self.placement.registry.takes_work(choice.upstream):
@@ -267,7 +267,7 @@
         self.backpressure.pause(name, mark.backoff)
         # A box in reach of no hub sent 12 of 12 further requests to one that left.
         if mark.leaving:
-            self.backpressure.leave(name)
+            self.backpressure.mark_leaving(name)
 
     def _record_outcome(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -107,8 +107,8 @@
             sender.connections.close_idle(name)
         for record, newer in registry.replaced():
             sender.replace(record, newer)
-        sender.backpressure.keep(registry.names())
-        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.closed())
+        sender.backpressure.retain(registry.names())
+        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.blocked())
         self.admission.metrics.upstream_changes = registry.changes
         self.admission.metrics.handed_off = self.caller_server.handoff.handed_off
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -32,12 +32,12 @@
     def backoff_left(self, pool: PoolName) -> float:
         """Return how long every upstream of a pool wants a pause, in seconds."""
         serving = self.local.placement.registry.serving(pool)
-        return self.backpressure.seconds_left(one.name for one in serving)
+        return self.backpressure.seconds_until_accepting(one.name for one in serving)
 
     async def choose(self, context: RequestContext) -> Choice | Refusal:
         """Return the upstream to send a request to, or why it is refused."""
         query = context.placement_query(self.domain)
-        closed = self.backpressure.closed()
+        closed = self.backpressure.blocked()
         if closed:
             query = replace(query, avoid=frozenset(closed))
             if not self.local.placement.eligible(query):
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -107,7 +107,7 @@
     progress: Progress,
 ) -> Slot:
     now = context.fleet.now()
-    ticket = admitted.ticket(now, context.backpressure.closed())
+    ticket = admitted.ticket(now, context.backpressure.blocked())
     try:
         check_not_quarantined(context, admitted)
         check_pool_accepting(context, admitted.pool)
--- a/packages/router/src/hitchdeck_router/dispatch/pauses.py
+++ b/packages/router/src/hitchdeck_router/dispatch/pauses.py
@@ -20,11 +20,11 @@
 
 def check_pool_accepting(context: RouterContext, pool: PoolName) -> None:
     """Raise ``NotRunError`` while every upstream of a pool wants a pause."""
-    if not context.backpressure.closed():
+    if not context.backpressure.blocked():
         return
     in_service = context.fleet.view.in_service(pool)
     names = [UpstreamName(one.name) for one in in_service]
-    left = context.backpressure.seconds_left(names)
+    left = context.backpressure.seconds_until_accepting(names)
     if left:
         raise NotRunError(
             _UNAVAILABLE,
@@ -37,5 +37,5 @@
 def check_accepting(context: RouterContext, name: UpstreamName) -> None:
     """Raise ``GrantLostError`` during the backoff of an upstream."""
     # Entry boxes sent up to 37 requests to one within the 3 s that it asked for.
-    if not context.backpressure.wants_requests(name):
+    if not context.backpressure.accepts_requests(name):
         raise GrantLostError(f'{name} wants a pause')
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -190,8 +190,8 @@
     for seconds in asked:
         backpressure.pause(FIRST, seconds)
     clock.seconds += later
-    assert backpressure.wants_requests(FIRST) == wants
-    assert backpressure.wants_requests(NEXT)
+    assert backpressure.accepts_requests(FIRST) == wants
+    assert backpressure.accepts_requests(NEXT)
 
 
 def test_a_life_that_asked_before_it_was_known_gets_its_pause() -> None:
@@ -200,8 +200,8 @@
     backpressure = Backpressure(clock)
     backpressure.pause(FIRST, 3)
     clock.seconds += 1
-    backpressure.pass_on(FIRST, NEXT)
-    backpressure.keep([NEXT])
-    assert backpressure.closed() == {NEXT}
+    backpressure.transfer_backoff(FIRST, NEXT)
+    backpressure.retain([NEXT])
+    assert backpressure.blocked() == {NEXT}
     clock.seconds += 2.1
-    assert not backpressure.closed()
+    assert not backpressure.blocked()
--- a/tests/edge/test_leaving_answers.py
+++ b/tests/edge/test_leaving_answers.py
@@ -85,7 +85,7 @@
         while not named.seen:
             await ask_often(site, 'app', 1, 'first')
     backpressure = site.boxes[0].admission.dispatcher.chooser.backpressure
-    assert UpstreamName(called) not in backpressure.closed()
+    assert UpstreamName(called) not in backpressure.blocked()
 
 
 @pytest.mark.parametrize('earlier', [True, False])
@@ -95,11 +95,11 @@
     left, newer = UpstreamName('e0/1'), UpstreamName('e0/2')
     clock = FakeClock()
     backpressure = Backpressure(clock)
-    backpressure.leave(left)
-    backpressure.pass_on(left, newer)
-    assert backpressure.closed() == {left}
-    backpressure.keep([left, newer] if earlier else [newer])
-    assert backpressure.wants_requests(left) != earlier
-    assert backpressure.wants_requests(newer)
+    backpressure.mark_leaving(left)
+    backpressure.transfer_backoff(left, newer)
+    assert backpressure.blocked() == {left}
+    backpressure.retain([left, newer] if earlier else [newer])
+    assert backpressure.accepts_requests(left) != earlier
+    assert backpressure.accepts_requests(newer)
     clock.seconds += 1000
-    assert backpressure.wants_requests(left) != earlier
+    assert backpressure.accepts_requests(left) != earlier
