--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
+from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.endings import CrashDetector
@@ -231,7 +231,7 @@
     def _record_first_event(self, context: RequestContext, attempt: Attempt) -> None:
         attempt.ticket.start()
         self.link.record_start(attempt.number)
-        if busy_part() <= OVERLOADED_UTILIZATION:
+        if loop_utilization() <= OVERLOADED_UTILIZATION:
             self.placement.measure(attempt.ticket, context.placement_query(self.domain))
 
     async def _read_matching_head(
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -3,7 +3,7 @@
 import math
 import secrets
 
-from hitchdeck_core.busyness import PERCENT, busy_part
+from hitchdeck_core.busyness import PERCENT, loop_utilization
 from hitchdeck_core.ids import Address
 from hitchdeck_core.quarantine.messages import encode_update
 from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
@@ -77,7 +77,7 @@
             evacuations=self.known.evacuations.edition,
             ready=self.ready,
             wants_reports=is_report_hub,
-            busy_percent=round(PERCENT * busy_part()),
+            busy_percent=round(PERCENT * loop_utilization()),
         )
         if first:
             frame.hello.CopyFrom(self._hello())
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -6,7 +6,7 @@
 from grpclib.client import Channel, Stream
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
+from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.channels import open_channel
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address, UpstreamName
@@ -135,7 +135,7 @@
         if ticket in self.open:
             self.open[ticket].unread = 0
             progress = PlacingFrame()
-            late = busy_part() > OVERLOADED_UTILIZATION
+            late = loop_utilization() > OVERLOADED_UTILIZATION
             (progress.late_started if late else progress.started).append(ticket)
             self._send_progress(progress)
 
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -6,7 +6,7 @@
 from tornado.httpserver import HTTPServer
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, busy_part, take_longest_turn
+from hitchdeck_core.busyness import PERCENT, loop_utilization, take_longest_turn
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
@@ -96,7 +96,7 @@
             logs.warning(
                 'behind its sockets',
                 longest_turn=round(longest, 3),
-                busy_percent=round(PERCENT * busy_part()),
+                busy_percent=round(PERCENT * loop_utilization()),
                 open_requests=len(self.admission.tasks),
             )
 
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -4,7 +4,7 @@
 import random
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part, loop_lag
+from hitchdeck_core.busyness import loop_lag, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
 from hitchdeck_edge.dispatch.answers import send_refusal
@@ -81,10 +81,10 @@
 
     def is_overloaded(self) -> bool:
         """Tell whether this box may have to reject requests."""
-        return is_overloaded(busy_part(), loop_lag())
+        return is_overloaded(loop_utilization(), loop_lag())
 
     def _should_admit(self) -> bool:
-        return should_admit(busy_part(), loop_lag())
+        return should_admit(loop_utilization(), loop_lag())
 
     def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
         """Reject a request for which this box has no time, and spend none on it.
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -7,7 +7,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from hitchdeck_core.busyness import busy_part
+from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.sockets import has_ended
 from hitchdeck_edge.errors import CallerDisconnectedError
 from hitchdeck_edge.serving.overload import should_close
@@ -124,7 +124,7 @@
         fields = HTTPHeaders()
         for name, text in headers:
             fields.add(name, text)
-        if should_close(busy_part()):
+        if should_close(loop_utilization()):
             fields['Connection'] = 'close'
         self.started = True
         self.status = status
--- a/packages/edge/src/hitchdeck_edge/serving/front.py
+++ b/packages/edge/src/hitchdeck_edge/serving/front.py
@@ -17,7 +17,7 @@
 from tornado.netutil import add_accept_handler
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
+from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_edge.serving.handoff import GREETING, Handoff, should_hand_off
 from hitchdeck_edge.serving.shedding import Shedder
 
@@ -137,7 +137,7 @@
 
     def _accept(self, connection: socket.socket, _: object) -> None:
         connection.setblocking(False)
-        if should_hand_off(busy_part()) and self.handoff.try_relay(connection):
+        if should_hand_off(loop_utilization()) and self.handoff.try_relay(connection):
             return
         self._serve_here(connection)
 
--- a/packages/edge/src/hitchdeck_edge/serving/gauges.py
+++ b/packages/edge/src/hitchdeck_edge/serving/gauges.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from hitchdeck_core.busyness import PERCENT, busy_part
+from hitchdeck_core.busyness import PERCENT, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_edge.model.document import RouteName
@@ -88,7 +88,7 @@
     def render(self) -> str:
         """Return all figures in the Prometheus text form."""
         lines = [
-            f'hitchdeck_busy_percent {PERCENT * busy_part():.0f}',
+            f'hitchdeck_busy_percent {PERCENT * loop_utilization():.0f}',
             f'hitchdeck_longest_turn_ms {MS_PER_SECOND * self.longest_turn:.0f}',
             f'hitchdeck_placed_alone_total {self.placed_locally}',
             f'hitchdeck_upstreams_unwilling {self.unwilling_upstreams}',
--- a/packages/edge/src/hitchdeck_edge/serving/rejections.py
+++ b/packages/edge/src/hitchdeck_edge/serving/rejections.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, busy_part, loop_lag
+from hitchdeck_core.busyness import PERCENT, loop_lag, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import RequestId
 from hitchdeck_edge.model.refusals import Refusal
@@ -45,7 +45,7 @@
             requests=self.ids,
             count=len(self.ids),
             seconds=round(self.now() - self.since, 3),
-            busy_percent=round(PERCENT * busy_part()),
+            busy_percent=round(PERCENT * loop_utilization()),
             lag=round(loop_lag(), 3),
         )
         self.ids = []
--- a/tests/cover/test_busyness.py
+++ b/tests/cover/test_busyness.py
@@ -6,9 +6,9 @@
 import pytest
 
 from hitchdeck_core.busyness import (
-    Busyness,
+    LoopLoad,
     MeteredLoop,
-    busy_part,
+    loop_utilization,
     take_longest_turn,
 )
 
@@ -28,28 +28,28 @@
 @pytest.mark.parametrize(('waited', 'busy'), [(0, 1), (0.25, 0.75), (1, 0)])
 def test_time_that_was_not_waited_is_work(waited: float, busy: float) -> None:
     clock = Hand()
-    meter = Busyness(clock)
+    meter = LoopLoad(clock)
     for _ in range(20):
         clock.seconds += 1
         meter.waited += waited
-        part = meter.part()
-    assert part == pytest.approx(busy, abs=0.01)
+        utilization = meter.utilization()
+    assert utilization == pytest.approx(busy, abs=0.01)
 
 
 def test_a_moment_of_work_is_no_load() -> None:
     clock = Hand()
-    meter = Busyness(clock)
+    meter = LoopLoad(clock)
     clock.seconds += 0.3
-    assert meter.part() < AFTER_A_MOMENT
+    assert meter.utilization() < AFTER_A_MOMENT
 
 
 def test_asking_twice_at_once_changes_nothing() -> None:
     clock = Hand()
-    meter = Busyness(clock)
+    meter = LoopLoad(clock)
     clock.seconds += 1
-    first = meter.part()
+    first = meter.utilization()
     clock.seconds += 0.01
-    assert meter.part() == pytest.approx(first)
+    assert meter.utilization() == pytest.approx(first)
 
 
 def test_a_loop_that_works_knows_it_and_one_that_waits_too() -> None:
@@ -57,9 +57,9 @@
         until = time.monotonic() + 0.5
         while time.monotonic() < until:
             await asyncio.sleep(0)
-        worked = busy_part()
+        worked = loop_utilization()
         await asyncio.sleep(0.5)
-        return worked, busy_part()
+        return worked, loop_utilization()
 
     with asyncio.Runner(loop_factory=MeteredLoop) as runner:
         worked, rested = runner.run(work())
@@ -68,7 +68,7 @@
 
 def test_another_loop_is_not_known_to_be_busy() -> None:
     async def ask() -> float:
-        return busy_part()
+        return loop_utilization()
 
     assert asyncio.run(ask()) == 0
 
@@ -95,20 +95,20 @@
     turn: float, wait: float, lag: float
 ) -> None:
     clock = Hand()
-    meter = Busyness(clock)
+    meter = LoopLoad(clock)
     for _ in range(200):
         clock.seconds += turn
-        began = meter.look()
+        began = meter.begin_poll()
         clock.seconds += wait
-        meter.went_on(began)
+        meter.end_poll(began)
     assert meter.lag == pytest.approx(lag, abs=0.03)
 
 
 def test_a_suspension_is_no_lag_for_long() -> None:
     clock = Hand()
-    meter = Busyness(clock)
+    meter = LoopLoad(clock)
     clock.seconds += 60
-    began = meter.look()
+    began = meter.begin_poll()
     clock.seconds += 1
-    meter.went_on(began)
+    meter.end_poll(began)
     assert meter.lag < AFTER_A_MOMENT
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -234,7 +234,7 @@
     busy: float,
     status: int,
 ) -> None:
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == status
     assert ran(site, 'r1') == (status == 200)
@@ -250,7 +250,7 @@
     # all of an account's requests come to one box, from that account's share.
     unread = replace(DIALECT, read_call=fail_to_read)
     monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
-    monkeypatch.setattr(admission, 'busy_part', lambda: 1.0)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: 1.0)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == 503
     assert reply.headers['Attempt-Id'] == 'r1'
@@ -313,6 +313,6 @@
 ) -> None:
     # The connection to a box that refuses at once is always free: one of 24
     # boxes got a half of all requests, and refused most of them.
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
-    monkeypatch.setattr(caller, 'busy_part', lambda: busy)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
+    monkeypatch.setattr(caller, 'loop_utilization', lambda: busy)
     assert ('Connection: close' in await head_of(site)) == asked
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -158,7 +158,7 @@
 ) -> None:
     # A flooded box noted first events seconds late; the scheduler took every
     # engine for slow and refused what other domains asked for.
-    monkeypatch.setattr(placing, 'busy_part', lambda: busy)
+    monkeypatch.setattr(placing, 'loop_utilization', lambda: busy)
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     service = PlacingService(scheduler, FleetSize(lambda: 1, scheduler.now))
