--- a/packages/control/src/hitchdeck_control/fleet/orders.py
+++ b/packages/control/src/hitchdeck_control/fleet/orders.py
@@ -23,7 +23,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.commands import FinishOrder
 from hitchdeck_core.resources import Upstream
-from hitchdeck_core.retry_after import RETRY_AFTER, pause_asked
+from hitchdeck_core.retry_after import RETRY_AFTER, requested_backoff
 
 FLIGHT_SECONDS = 5.0
 """Longest time from sending an order to its end, or the call is given up."""
@@ -172,7 +172,7 @@
     """Return the ``Retry-After`` of an error response in seconds."""
     if error.response is None:
         return 0
-    return pause_asked(error.code, error.response.headers.get(RETRY_AFTER, ''))
+    return requested_backoff(error.code, error.response.headers.get(RETRY_AFTER, ''))
 
 
 async def _has_it_already(upstream: Upstream, order: Order) -> bool:
--- a/packages/core/src/hitchdeck_core/retry_after.py
+++ b/packages/core/src/hitchdeck_core/retry_after.py
@@ -11,20 +11,20 @@
 
 RETRY_AFTER = 'Retry-After'
 
-TURNED_AWAY = frozenset((429, 503))
+RETRY_AFTER_STATUSES = frozenset((429, 503))
 """Answers in which the header asks for a pause (RFC 9110, 10.2.3; RFC 6585, 4)."""
 
-LONGEST_SECONDS = 2_147_483_647.0
+MAX_RETRY_AFTER_SECONDS = 2_147_483_647.0
 """Cap on what is asked for: longer than any process runs, and a number that can
 be added to a clock."""
 
 
-def pause_asked(status: int, given: str) -> float:
+def requested_backoff(status: int, header: str) -> float:
     """Return for how many seconds an answer asks to be sent nothing, 0 for none."""
-    return read_retry_after(given) if status in TURNED_AWAY else 0
+    return parse_retry_after(header) if status in RETRY_AFTER_STATUSES else 0
 
 
-def read_retry_after(given: str, now: Clock = wall_seconds) -> float:
+def parse_retry_after(header: str, now: Clock = wall_seconds) -> float:
     """Return the seconds until another try is wanted, 0 where none are told.
 
     What can't be read tells nothing, and is no reason to drop an answer.
@@ -35,16 +35,16 @@
         The time of day, in Unix seconds: dates are compared with it.
     """
     try:
-        seconds = _seconds(given.strip(), now)
+        seconds = _seconds(header.strip(), now)
     except (ValueError, OverflowError):
         # Neither a number nor a date.
         return 0
-    return 0 if math.isnan(seconds) else min(LONGEST_SECONDS, max(0, seconds))
+    return 0 if math.isnan(seconds) else min(MAX_RETRY_AFTER_SECONDS, max(0, seconds))
 
 
-def _seconds(given: str, now: Clock) -> float:
+def _seconds(header: str, now: Clock) -> float:
     try:
-        return float(given)
+        return float(header)
     except ValueError:
         # The other form that the standard has.
-        return parsedate_to_datetime(given).timestamp() - now()
+        return parsedate_to_datetime(header).timestamp() - now()
--- a/packages/router/src/hitchdeck_router/dispatch/pauses.py
+++ b/packages/router/src/hitchdeck_router/dispatch/pauses.py
@@ -2,7 +2,7 @@
 
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_core.resources import Upstream
-from hitchdeck_core.retry_after import RETRY_AFTER, pause_asked
+from hitchdeck_core.retry_after import RETRY_AFTER, requested_backoff
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.calls import ResponseHead
 from hitchdeck_router.errors import GrantLostError, NotRunError
@@ -14,7 +14,7 @@
     context: RouterContext, upstream: Upstream, head: ResponseHead
 ) -> None:
     """Keep to the pause that an upstream asks for in an answer."""
-    seconds = pause_asked(head.status, head.headers.get(RETRY_AFTER, ''))
+    seconds = requested_backoff(head.status, head.headers.get(RETRY_AFTER, ''))
     context.backpressure.pause(UpstreamName(upstream.name), seconds)
 
 
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hitchdeck_core.ids import AccountName
-from hitchdeck_core.retry_after import LONGEST_SECONDS
+from hitchdeck_core.retry_after import MAX_RETRY_AFTER_SECONDS
 from hitchdeck_edge.model.dialect import Forwarding
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_platform.requests import forward_headers, read_answer, read_call
@@ -117,10 +117,10 @@
         (503, '', 0),
         (503, 'soon', 0),
         (503, 'nan', 0),
-        (503, 'inf', LONGEST_SECONDS),
-        (503, '9' * 400, LONGEST_SECONDS),
+        (503, 'inf', MAX_RETRY_AFTER_SECONDS),
+        (503, '9' * 400, MAX_RETRY_AFTER_SECONDS),
         (503, 'Thu, 01 Jan 1970 00:00:00 GMT', 0),
-        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', LONGEST_SECONDS),
+        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', MAX_RETRY_AFTER_SECONDS),
         (500, '3', 0),
         (200, '3', 0),
         (421, '3', 0),
