--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -7,7 +7,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address, ReplicaId
-from hitchdeck_core.supervisor import Supervisor, Work
+from hitchdeck_core.supervisor import Supervisor, TaskFunction
 from hitchdeck_core.wire.hitchdeck_pb2 import (
     AppendReply,
     AppendRequest,
@@ -130,7 +130,7 @@
     links: Links,
     leadership: Leadership,
     peer: Member,
-) -> Work:
+) -> TaskFunction:
     async def work() -> None:
         while replica.leadership is leadership:
             try:
--- a/packages/core/src/hitchdeck_core/control_client.py
+++ b/packages/core/src/hitchdeck_core/control_client.py
@@ -23,9 +23,9 @@
     ReadRequest,
 )
 
-_CALL_SECONDS = 5.0
-_FIRST_PAUSE = 0.02
-_LONGEST_PAUSE = 0.5
+_CALL_TIMEOUT_SECONDS = 5.0
+_INITIAL_BACKOFF_SECONDS = 0.02
+_MAX_BACKOFF_SECONDS = 0.5
 
 Answer = TypeVar('Answer', bound=BaseModel)
 Reply = TypeVar('Reply', ExecuteReply, ReadReply)
@@ -41,7 +41,7 @@
     def __init__(self, addresses: tuple[Address, ...], token: str) -> None:
         self.addresses = addresses
         self.token = token
-        self.position = 0
+        self.address_index = 0
         self.leader = Address('')
         self.channels: dict[Address, Channel] = {}
 
@@ -70,7 +70,7 @@
             command=command_codec.dump_json(command),
         )
         reply = await self._until_answered(
-            lambda stub: stub.Execute(request, timeout=_CALL_SECONDS),
+            lambda stub: stub.Execute(request, timeout=_CALL_TIMEOUT_SECONDS),
             seconds,
         )
         return outcome_codec.validate_json(reply.outcome)
@@ -96,8 +96,8 @@
     ) -> Reply:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
-        pause = _FIRST_PAUSE
-        problem = 'no leader'
+        backoff = _INITIAL_BACKOFF_SECONDS
+        last_failure = 'no leader'
         while loop.time() < deadline:
             address = self.leader or self._next_address()
             self.leader = Address('')
@@ -105,21 +105,21 @@
                 reply = await call(self._stub(address))
             except TRANSPORT_ERRORS as error:
                 _raise_if_final(error)
-                problem = f'{address}: {type(error).__name__}: {error}'
+                last_failure = f'{address}: {type(error).__name__}: {error}'
                 self._drop(address)
             else:
                 if getattr(reply, 'outcome', b'') or getattr(reply, 'answer', b''):
                     self.leader = address
                     return reply
                 self.leader = Address(reply.leader_address)
-                problem = f'{address} does not lead'
-            await asyncio.sleep(pause)
-            pause = min(_LONGEST_PAUSE, 2 * pause)
-        raise LinkError(f'control group: {problem} (tried for {seconds} s)')
+                last_failure = f'{address} does not lead'
+            await asyncio.sleep(backoff)
+            backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
+        raise LinkError(f'control group: {last_failure} (tried for {seconds} s)')
 
     def _next_address(self) -> Address:
-        self.position += 1
-        return self.addresses[self.position % len(self.addresses)]
+        self.address_index += 1
+        return self.addresses[self.address_index % len(self.addresses)]
 
     def _stub(self, address: Address) -> ControlStub:
         if address not in self.channels:
--- a/packages/core/src/hitchdeck_core/signals.py
+++ b/packages/core/src/hitchdeck_core/signals.py
@@ -21,7 +21,7 @@
         self.count += 1
         waiters, self.waiters = self.waiters, set()
         for waiter in waiters:
-            _settle(waiter, notified=True)
+            _resolve(waiter, notified=True)
 
     async def wait(self, seconds: float | None = None) -> bool:
         """Wait for the next notification; ``False`` if time ran out first."""
@@ -32,7 +32,7 @@
             return await waiter
         # Lighter than ``asyncio.wait`` with a timeout, and this runs for
         # every ticket.
-        timer = loop.call_later(seconds, _settle, waiter, False)
+        timer = loop.call_later(seconds, _resolve, waiter, False)
         try:
             return await waiter
         finally:
@@ -40,6 +40,6 @@
             self.waiters.discard(waiter)
 
 
-def _settle(waiter: asyncio.Future[bool], notified: bool) -> None:
+def _resolve(waiter: asyncio.Future[bool], notified: bool) -> None:
     if not waiter.done():
         waiter.set_result(notified)
--- a/packages/core/src/hitchdeck_core/sockets.py
+++ b/packages/core/src/hitchdeck_core/sockets.py
@@ -9,7 +9,7 @@
 KEEPALIVE_PROBES = 3
 """Unanswered probes after which a connection is dead."""
 
-UNACKED_MS = 3000
+USER_TIMEOUT_MS = 3000
 """Sent bytes that stay unacknowledged so long end a connection, in ms."""
 
 BACKLOG = 1024
@@ -17,14 +17,14 @@
 that finds no room tries again only after a second."""
 
 
-def set_probes(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Make the kernel notice a peer that is gone; a listener's are inherited."""
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     )
     for level, option, setting in options:
@@ -36,24 +36,24 @@
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
     sock = socket.create_server((host, port), family=family, backlog=BACKLOG)
     sock.setblocking(False)
-    set_probes(sock)
+    enable_keepalive(sock)
     return sock
 
 
-def holds_unread(descriptor: int) -> bool:
+def has_unread_input(descriptor: int) -> bool:
     """Tell whether bytes or a close wait to be read, at this moment."""
-    look = select.poll()
-    look.register(descriptor, select.POLLIN)
-    return bool(look.poll(0))
+    poller = select.poll()
+    poller.register(descriptor, select.POLLIN)
+    return bool(poller.poll(0))
 
 
-def has_ended(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Tell whether a peer has closed, by what the kernel holds at this moment.
 
     An event loop tells it only at its next turn.  Bytes that are not read yet
     hide a close behind them.
     """
-    if not holds_unread(sock.fileno()):
+    if not has_unread_input(sock.fileno()):
         return False
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/packages/core/src/hitchdeck_core/supervisor.py
+++ b/packages/core/src/hitchdeck_core/supervisor.py
@@ -14,10 +14,10 @@
 
 from hitchdeck_core import logs
 
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 2.0
+_INITIAL_BACKOFF_SECONDS = 0.05
+_MAX_BACKOFF_SECONDS = 2.0
 
-Work = Callable[[], Awaitable[None]]
+TaskFunction = Callable[[], Awaitable[None]]
 
 
 class Supervisor:
@@ -35,7 +35,7 @@
         self.counter = 0
         self.stopping = False
 
-    def permanent(self, name: str, work: Work) -> None:
+    def permanent(self, name: str, work: TaskFunction) -> None:
         """Run work for ever, again after each failure."""
         self._start(name, self._keep_running(name, work))
 
@@ -66,7 +66,7 @@
     def _start(self, name: str, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coroutine, name=f'{self.name}.{name}')
         self.tasks[name] = task
-        task.add_done_callback(lambda done: self._forget(name, done))
+        task.add_done_callback(lambda done: self._discard(name, done))
 
     def _fail(self, error: Exception) -> None:
         if self.failed is None:
@@ -74,7 +74,7 @@
         if not self.failed.done():
             self.failed.set_exception(error)
 
-    def _forget(self, name: str, done: asyncio.Task[None]) -> None:
+    def _discard(self, name: str, done: asyncio.Task[None]) -> None:
         if self.tasks.get(name) is done:
             self.tasks.pop(name)
 
@@ -88,8 +88,8 @@
         except Exception as error:
             logs.failure('task failed', error, task=f'{self.name}.{name}')
 
-    async def _keep_running(self, name: str, work: Work) -> None:
-        pause = _FIRST_PAUSE
+    async def _keep_running(self, name: str, work: TaskFunction) -> None:
+        backoff = _INITIAL_BACKOFF_SECONDS
         while not self.stopping:
             try:
                 await work()
@@ -98,7 +98,7 @@
                 return
             except Exception as error:
                 logs.failure('task restarts', error, task=f'{self.name}.{name}')
-                pause = min(_LONGEST_PAUSE, 2 * pause)
+                backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
             else:
-                pause = _FIRST_PAUSE
-            await asyncio.sleep(pause)
+                backoff = _INITIAL_BACKOFF_SECONDS
+            await asyncio.sleep(backoff)
--- a/packages/edge/src/hitchdeck_edge/dispatch/exchange.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/exchange.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.busyness import loop_lag
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.ids import Address
-from hitchdeck_core.sockets import holds_unread, set_probes
+from hitchdeck_core.sockets import enable_keepalive, has_unread_input
 from hitchdeck_edge.errors import IncompleteResponseError, NotSentError
 from hitchdeck_edge.model.calls import Header
 
@@ -71,7 +71,7 @@
         self.transport = transport
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            set_probes(sock)
+            enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
         """Hand bytes to the parser; between two requests nothing may come."""
@@ -109,7 +109,7 @@
         """
         return self.usable and not (
             self.transport is None
-            or holds_unread(self.transport.get_extra_info('socket').fileno())
+            or has_unread_input(self.transport.get_extra_info('socket').fileno())
         )
 
     def send(self, upstream_request: UpstreamRequest) -> None:
--- a/packages/edge/src/hitchdeck_edge/links/attend.py
+++ b/packages/edge/src/hitchdeck_edge/links/attend.py
@@ -16,7 +16,7 @@
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address
 from hitchdeck_core.signals import Signal
-from hitchdeck_core.supervisor import Supervisor, Work
+from hitchdeck_core.supervisor import Supervisor, TaskFunction
 from hitchdeck_core.wire.spread_grpc import SpreadStub
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
 from hitchdeck_edge.links.hubs import KnownHubs
@@ -100,7 +100,7 @@
         for address in wanted - set(self.tasks.tasks):
             self.tasks.permanent(address, self._stream_task(address))
 
-    def _stream_task(self, address: Address) -> Work:
+    def _stream_task(self, address: Address) -> TaskFunction:
         async def stream_task() -> None:
             delay = MIN_RETRY_DELAY_SECONDS
             while True:
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -8,7 +8,7 @@
 from tornado.iostream import StreamClosedError
 
 from hitchdeck_core.busyness import loop_utilization
-from hitchdeck_core.sockets import has_ended
+from hitchdeck_core.sockets import peer_has_closed
 from hitchdeck_edge.errors import CallerDisconnectedError
 from hitchdeck_edge.serving.overload import should_close
 
@@ -41,7 +41,7 @@
         its caller's close had come.  To ask takes 1 us (mean of 200,000).
         """
         stream = self.connection.stream
-        return self.disconnected or stream.closed() or has_ended(stream.socket)
+        return self.disconnected or stream.closed() or peer_has_closed(stream.socket)
 
     async def start_response(
         self, status: int, reason: str, headers: ResponseHeaders
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -18,7 +18,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.ids import Address
-from hitchdeck_core.sockets import set_probes
+from hitchdeck_core.sockets import enable_keepalive
 from hitchdeck_edge.state.relief import ReliefTargets
 
 HANDOFF_START = 0.55
@@ -113,7 +113,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport, and notice a box that has lost its power."""
         super().connection_made(transport)
-        set_probes(transport.get_extra_info('socket'))
+        enable_keepalive(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
         """Take the greeting, then pass bytes on."""
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -13,7 +13,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.hashing import token_hash
 from hitchdeck_core.ids import AccountName, RequestId
-from hitchdeck_core.sockets import has_ended
+from hitchdeck_core.sockets import peer_has_closed
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import CallerDisconnectedError, NotRunError, RouterError
@@ -84,7 +84,7 @@
         if self.disconnected or not isinstance(connection, HTTP1Connection):
             return self.disconnected
         stream = connection.stream
-        return stream.closed() or has_ended(stream.socket)
+        return stream.closed() or peer_has_closed(stream.socket)
 
     async def run(self, work: Awaitable[None]) -> None:
         """Do the work of a request, and turn its errors into answers."""
--- a/tests/edge/test_sockets.py
+++ b/tests/edge/test_sockets.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.sockets import (
     KEEPALIVE_PROBES,
     KEEPALIVE_SECONDS,
-    UNACKED_MS,
+    USER_TIMEOUT_MS,
     listening_socket,
 )
 
@@ -19,7 +19,7 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ],
 )
 def test_what_a_door_accepts_is_probed(level: int, option: int, expected: int) -> None:
