--- a/bench/ticket_cost.py
+++ b/bench/ticket_cost.py
@@ -15,7 +15,7 @@
 import fire
 
 from bench.common import append_row
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import AccountName, Address, Incarnation, PoolName, RequestId
 from hitchdeck_core.resources import (
@@ -157,7 +157,7 @@
     wire = Address(f'127.0.0.1:{free_ports(1)[0]}')
     fleet = make_fleet(setup, wire, _OWNER)
     host = SchedulerHost(fleet, _OWNER)
-    server = await serve([SchedulerService(host)], wire, fleet_only(_TOKEN))
+    server = await serve([SchedulerService(host)], wire, require_fleet_token(_TOKEN))
     supervisor = Supervisor('bench')
     supervisor.permanent('host', host.maintain)
     finders = [
--- a/packages/control/src/hitchdeck_control/process.py
+++ b/packages/control/src/hitchdeck_control/process.py
@@ -19,7 +19,7 @@
 from hitchdeck_control.storage.identity import open_identity
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core import logs
-from hitchdeck_core.channels import Authorize, serve
+from hitchdeck_core.channels import Authorizer, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.hashing import token_hash
 from hitchdeck_core.ids import BoxName
@@ -95,13 +95,15 @@
     return replica, machine
 
 
-def _authorize(fleet_token: str, operator_hashes: Iterable[str]) -> Authorize:
+def _authorize(fleet_token: str, operator_hashes: Iterable[str]) -> Authorizer:
     hashes = list(operator_hashes)
 
-    def authorize(shown: str, method: str) -> bool:
-        if hmac.compare_digest(shown.encode(), fleet_token.encode()):
+    def authorize(presented_token: str, method: str) -> bool:
+        if hmac.compare_digest(presented_token.encode(), fleet_token.encode()):
             return True
-        known = any(hmac.compare_digest(token_hash(shown), one) for one in hashes)
+        known = any(
+            hmac.compare_digest(token_hash(presented_token), one) for one in hashes
+        )
         return known and method.endswith(_OPERATOR_METHODS)
 
     return authorize
--- a/packages/core/src/hitchdeck_core/channels.py
+++ b/packages/core/src/hitchdeck_core/channels.py
@@ -24,7 +24,7 @@
 )
 """What a broken link may raise; layers above turn these into their own."""
 
-_TOKEN_KEY = 'hitchdeck-token'
+_TOKEN_METADATA_KEY = 'hitchdeck-token'
 
 Queued = TypeVar('Queued')
 
@@ -40,22 +40,22 @@
     host, port = split_address(address)
     channel = Channel(host, port)
 
-    async def show_token(event: SendRequest) -> None:
-        event.metadata[_TOKEN_KEY] = token
+    async def attach_token(event: SendRequest) -> None:
+        event.metadata[_TOKEN_METADATA_KEY] = token
 
-    listen(channel, SendRequest, show_token)
+    listen(channel, SendRequest, attach_token)
     return channel
 
 
-Authorize = Callable[[str, str], bool]
+Authorizer = Callable[[str, str], bool]
 """Told the token shown and the method's path, says if the call may go on."""
 
 
-def fleet_only(fleet_token: str) -> Authorize:
+def require_fleet_token(fleet_token: str) -> Authorizer:
     """Return a check that lets only the fleet's own processes in."""
 
-    def authorize(shown: str, method: str) -> bool:
-        return hmac.compare_digest(shown.encode(), fleet_token.encode())
+    def authorize(presented_token: str, method: str) -> bool:
+        return hmac.compare_digest(presented_token.encode(), fleet_token.encode())
 
     return authorize
 
@@ -63,14 +63,14 @@
 async def serve(
     handlers: Sequence[IServable],
     address: Address,
-    authorize: Authorize,
+    authorize: Authorizer,
 ) -> Server:
     """Start a server that refuses calls whose token is not good for them."""
     server = Server(handlers)
 
     async def check_token(event: RecvRequest) -> None:
-        shown = str(event.metadata.get(_TOKEN_KEY, ''))
-        if not authorize(shown, event.method_name):
+        presented_token = str(event.metadata.get(_TOKEN_METADATA_KEY, ''))
+        if not authorize(presented_token, event.method_name):
             raise GRPCError(Status.UNAUTHENTICATED, 'wrong or missing token')
 
     listen(server, RecvRequest, check_token)
@@ -87,22 +87,22 @@
     for the whole state when it comes back.
     """
 
-    def __init__(self, most: int = 10_000) -> None:
-        self.waiting: list[Queued] = []
-        self.most = most
-        self.filled = asyncio.Event()
+    def __init__(self, capacity: int = 10_000) -> None:
+        self.messages: list[Queued] = []
+        self.capacity = capacity
+        self.not_empty = asyncio.Event()
 
     def put(self, message: Queued) -> None:
         """Add a message, or raise ``LinkError`` if the peer is too slow."""
-        if len(self.waiting) >= self.most:
-            raise LinkError(f'peer is {self.most} messages behind')
-        self.waiting.append(message)
-        self.filled.set()
+        if len(self.messages) >= self.capacity:
+            raise LinkError(f'peer is {self.capacity} messages behind')
+        self.messages.append(message)
+        self.not_empty.set()
 
     async def take_all(self) -> list[Queued]:
         """Wait for messages and return all that are there."""
-        await self.filled.wait()
-        self.filled.clear()
-        taken = self.waiting
-        self.waiting = []
+        await self.not_empty.wait()
+        self.not_empty.clear()
+        taken = self.messages
+        self.messages = []
         return taken
--- a/packages/core/src/hitchdeck_core/histograms.py
+++ b/packages/core/src/hitchdeck_core/histograms.py
@@ -37,16 +37,16 @@
 class Histograms:
     """All histograms of a process."""
 
-    def __init__(self, now: Callable[[], float], most: int = 400) -> None:
+    def __init__(self, now: Callable[[], float], max_series: int = 400) -> None:
         self.now = now
-        self.most = most
+        self.max_series = max_series
         self.series: dict[tuple[str, ...], _Series] = {}
 
     def record(self, name: str, labels: tuple[str, ...], amount: float) -> None:
         """Add one measurement to the series of a name and label values."""
         series = self.series.get((name, *labels))
         if series is None:
-            series = self._make((name, *labels))
+            series = self._add_series((name, *labels))
         bounded = min(_HIGHEST, max(_LOWEST, round(amount)))
         series.histogram.record_value(bounded)
         series.total += amount
@@ -69,8 +69,8 @@
                 },
             )
 
-    def _make(self, key: tuple[str, ...]) -> _Series:
-        if len(self.series) >= self.most:
+    def _add_series(self, key: tuple[str, ...]) -> _Series:
+        if len(self.series) >= self.max_series:
             idle = min(self.series, key=lambda one: self.series[one].last_used)
             self.series.pop(idle)
         series = _Series(HdrHistogram(_LOWEST, _HIGHEST, _DIGITS), 0, self.now())
--- a/packages/core/src/hitchdeck_core/labels.py
+++ b/packages/core/src/hitchdeck_core/labels.py
@@ -19,7 +19,7 @@
 
 _NAME = r'[A-Za-z0-9](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?'
 _KEY = rf'(?:{_NAME}/)?{_NAME}'
-_LONGEST_NAME = 63
+_MAX_NAME_LENGTH = 63
 _KEY_PATTERN = re.compile(_KEY)
 _VALUE_PATTERN = re.compile(rf'(?:{_NAME})?')
 _SET_PATTERN = re.compile(rf'({_KEY})\s+(in|notin)\s*\(([^()]*)\)')
@@ -94,7 +94,7 @@
         return Ok(Selector(()))
     try:
         requirements = tuple(
-            _requirement(part.strip()) for part in _SEPARATOR.split(text)
+            _parse_requirement(part.strip()) for part in _SEPARATOR.split(text)
         )
     except SelectorError as error:
         return Error(error)
@@ -109,27 +109,27 @@
     return parsed.ok
 
 
-def _requirement(part: str) -> Requirement:
-    found = _SET_PATTERN.fullmatch(part)
-    if found:
-        key, operator, members = found.groups()
-        return Requirement(key, Operator(operator), _choices(key, members))
-    found = _EQUALITY_PATTERN.fullmatch(part)
-    if found:
-        key, sign, text = found.groups()
+def _parse_requirement(part: str) -> Requirement:
+    matched = _SET_PATTERN.fullmatch(part)
+    if matched:
+        key, operator, members = matched.groups()
+        return Requirement(key, Operator(operator), _parse_choices(key, members))
+    matched = _EQUALITY_PATTERN.fullmatch(part)
+    if matched:
+        key, sign, text = matched.groups()
         operator = Operator.none_of if sign == '!=' else Operator.one_of
         return Requirement(key, operator, frozenset((text,)))
-    found = _PRESENCE_PATTERN.fullmatch(part)
-    if found:
-        operator = Operator.absent if found.group(1) else Operator.present
-        return Requirement(found.group(2), operator)
+    matched = _PRESENCE_PATTERN.fullmatch(part)
+    if matched:
+        operator = Operator.absent if matched.group(1) else Operator.present
+        return Requirement(matched.group(2), operator)
     raise SelectorError(
         f'selector requirement {part!r} is none of: key, !key, key=value, '
         'key!=value, key in (a, b), key notin (a, b)',
     )
 
 
-def _choices(key: str, members: str) -> frozenset[str]:
+def _parse_choices(key: str, members: str) -> frozenset[str]:
     choices = [member.strip() for member in members.split(',')]
     for choice in choices:
         _check_value(key, choice)
@@ -138,10 +138,10 @@
 
 def _check_key(key: str) -> None:
     _, _, name = key.rpartition('/')
-    if not _KEY_PATTERN.fullmatch(key) or len(name) > _LONGEST_NAME:
+    if not _KEY_PATTERN.fullmatch(key) or len(name) > _MAX_NAME_LENGTH:
         raise SelectorError(f'label key {key!r} is not a label key')
 
 
 def _check_value(key: str, text: str) -> None:
-    if not _VALUE_PATTERN.fullmatch(text) or len(text) > _LONGEST_NAME:
+    if not _VALUE_PATTERN.fullmatch(text) or len(text) > _MAX_NAME_LENGTH:
         raise SelectorError(f'label {key!r} has a bad value: {text!r}')
--- a/packages/core/src/hitchdeck_core/log_output.py
+++ b/packages/core/src/hitchdeck_core/log_output.py
@@ -9,13 +9,13 @@
 import time
 from collections.abc import Callable
 
-LINES_A_SECOND = 300
+LINES_PER_SECOND = 300
 """Steady rate: about ten lines for each request that a small box serves."""
 
 BURST_LINES = 1500
 """Lines at once, after quiet seconds."""
 
-WAITING_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 """Lines that wait for a slow reader, in bytes."""
 
 
@@ -35,37 +35,37 @@
     ) -> None:
         self.descriptor = descriptor
         self.now = now
-        self.waiting = b''
+        self.buffer = b''
         self.dropped = 0
         self.allowance = float(BURST_LINES)
-        self.refilled = now()
+        self.refilled_at = now()
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Take one line, or count it as dropped."""
         self._refill()
-        if self.allowance < 1 or len(self.waiting) > WAITING_BYTES:
+        if self.allowance < 1 or len(self.buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
         self.allowance -= 1
         if self.dropped:
-            told = {'event': 'log lines dropped', 'lines': self.dropped}
-            self.waiting += f'{json.dumps(told)}\n'.encode()
+            notice = {'event': 'log lines dropped', 'lines': self.dropped}
+            self.buffer += f'{json.dumps(notice)}\n'.encode()
             self.dropped = 0
-        self.waiting += text.encode()
+        self.buffer += text.encode()
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        if not self.waiting:
+        if not self.buffer:
             return
         try:
-            written = os.write(self.descriptor, self.waiting)
+            written = os.write(self.descriptor, self.buffer)
         except BlockingIOError:
             return
         except OSError:
             # The reader is gone; there is nobody left to tell.
-            written = len(self.waiting)
-        self.waiting = self.waiting[written:]
+            written = len(self.buffer)
+        self.buffer = self.buffer[written:]
 
     def close(self) -> None:
         """Write what the reader takes; the descriptor is not this object's."""
@@ -73,6 +73,6 @@
 
     def _refill(self) -> None:
         now = self.now()
-        fresh = (now - self.refilled) * LINES_A_SECOND
+        fresh = (now - self.refilled_at) * LINES_PER_SECOND
         self.allowance = min(BURST_LINES, self.allowance + fresh)
-        self.refilled = now
+        self.refilled_at = now
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -13,7 +13,7 @@
 from hitchdeck_control.raft.replica import Replica
 from hitchdeck_control.raft.service import ReplicationService
 from hitchdeck_core import logs
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.supervisor import Supervisor
@@ -229,7 +229,7 @@
     server = await serve(
         services,  # type: ignore[arg-type]
         Address(hub.settings.listen),
-        fleet_only(hub.settings.fleet_token),
+        require_fleet_token(hub.settings.fleet_token),
     )
     hub.servers.append(server)
 
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -10,7 +10,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.backpressure import Backpressure
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.control_client import ControlClient
 from hitchdeck_core.histograms import Histograms
@@ -101,7 +101,7 @@
     wire = await serve(
         [SchedulerService(context.host)],
         section.wire_listen,
-        fleet_only(settings.fleet_token),
+        require_fleet_token(settings.fleet_token),
     )
     http = start_http(context)
     supervisor.permanent('control-link', link.run)
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -8,7 +8,7 @@
 
 from hitchdeck_core.errors import SettingsError
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
-from hitchdeck_core.log_output import BURST_LINES, WAITING_BYTES, BoundedOutput
+from hitchdeck_core.log_output import BURST_LINES, MAX_BUFFERED_BYTES, BoundedOutput
 from hitchdeck_edge.dispatch.answers import end_to_end_headers
 from hitchdeck_edge.dispatch.budget import SAFETY_FACTOR, RetryBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
@@ -139,11 +139,11 @@
     for _ in range(BURST_LINES + 100):
         output.write(line)
         output.flush()
-    assert len(output.waiting) <= WAITING_BYTES + len(line)
+    assert len(output.buffer) <= MAX_BUFFERED_BYTES + len(line)
     assert output.dropped > 0
     os.close(reader)
     output.flush()
-    assert not output.waiting
+    assert not output.buffer
     os.close(writer)
 
 
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.signals import Signal
@@ -125,7 +125,7 @@
     clock = FakeClock()
     service = PlacingService(scheduler_of(clock, 1), FleetSize(lambda: 1, clock))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     try:
         yield address
     finally:
@@ -163,7 +163,7 @@
     scheduler = scheduler_of(clock, 1)
     service = PlacingService(scheduler, FleetSize(lambda: 1, scheduler.now))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     async with running_link(address) as link:
         link.registry.merge(engine('e0'), 'test')
         await reached(link, connected=True)
