--- a/packages/core/src/hitchdeck_core/checks.py
+++ b/packages/core/src/hitchdeck_core/checks.py
@@ -17,7 +17,7 @@
 _PORT_DIGITS = 5
 
 
-def shown(given: object) -> str:
+def abbreviated(given: object) -> str:
     """Return how a value is told in an error: of any size, in few words."""
     return reprlib.repr(given)
 
@@ -28,20 +28,20 @@
     host, colon, port = text.rpartition(':')
     digits = port.isascii() and port.isdecimal() and len(port) <= _PORT_DIGITS
     if not colon or not digits or int(port) > _LAST_PORT:
-        raise ValueError(f'{shown(text)} is not IP:port')
+        raise ValueError(f'{abbreviated(text)} is not IP:port')
     try:
         ipaddress.ip_address(host.strip('[]'))
     except ValueError as error:
-        raise ValueError(f'{shown(text)} has no IP number') from error
+        raise ValueError(f'{abbreviated(text)} has no IP number') from error
     return text
 
 
-def check_text(given: object, least: int = 1) -> str:
+def check_text(given: object, min_length: int = 1) -> str:
     """Return text of at least so many characters, or raise ``ValueError``."""
     if not isinstance(given, str):
-        raise ValueError(f'{shown(given)} is not text')
-    if len(given) < least:
-        raise ValueError(f'{shown(given)} has fewer than {least} characters')
+        raise ValueError(f'{abbreviated(given)} is not text')
+    if len(given) < min_length:
+        raise ValueError(f'{abbreviated(given)} has fewer than {min_length} characters')
     return given
 
 
@@ -49,7 +49,9 @@
     """Return the name of a box or failure domain, or raise ``ValueError``."""
     text = check_text(given)
     if not re.fullmatch(NAME_PATTERN, text):
-        raise ValueError(f'{shown(text)} is not a name: lower case, digits, . _ -')
+        raise ValueError(
+            f'{abbreviated(text)} is not a name: lower case, digits, . _ -'
+        )
     return text
 
 
@@ -57,8 +59,8 @@
     given: object,
     *,
     above: float = -math.inf,
-    least: float = -math.inf,
-    most: float = math.inf,
+    minimum: float = -math.inf,
+    maximum: float = math.inf,
 ) -> float:
     """Return a finite number within bounds, or raise ``ValueError``.
 
@@ -66,22 +68,22 @@
     ----------
     above
         The number must be greater.
-    least, most
+    minimum, maximum
         The number may be equal to these.
     """
     if isinstance(given, bool) or not isinstance(given, int | float):
-        raise ValueError(f'{shown(given)} is not a number')
+        raise ValueError(f'{abbreviated(given)} is not a number')
     if isinstance(given, float) and not math.isfinite(given):
-        raise ValueError(f'{shown(given)} is not a finite number')
+        raise ValueError(f'{abbreviated(given)} is not a finite number')
     if given <= above:
-        raise ValueError(f'{shown(given)} is not above {above}')
-    if not least <= given <= most:
-        raise ValueError(f'{shown(given)} is not from {least} to {most}')
+        raise ValueError(f'{abbreviated(given)} is not above {above}')
+    if not minimum <= given <= maximum:
+        raise ValueError(f'{abbreviated(given)} is not from {minimum} to {maximum}')
     return given
 
 
-def check_flag(given: object) -> bool:
+def check_boolean(given: object) -> bool:
     """Return a truth value, or raise ``ValueError``."""
     if not isinstance(given, bool):
-        raise ValueError(f'{shown(given)} is neither true nor false')
+        raise ValueError(f'{abbreviated(given)} is neither true nor false')
     return given
--- a/packages/edge/src/hitchdeck_edge/hub/orders.py
+++ b/packages/edge/src/hitchdeck_edge/hub/orders.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from hitchdeck_core.checks import shown
+from hitchdeck_core.checks import abbreviated
 from hitchdeck_core.wire.spread_pb2 import EvacuationOrder
 from hitchdeck_edge.errors import UnknownDomainError
 from hitchdeck_edge.hub.documents_client import DocumentsClient
@@ -34,7 +34,7 @@
             It may or may not come into force, or a later order is in force.
         """
         if self.areas and domain not in self.areas:
-            raise UnknownDomainError(f'no failure domain {shown(domain)}')
+            raise UnknownDomainError(f'no failure domain {abbreviated(domain)}')
         seen = edition_of(self.evacuations.orders, domain)
         await self.documents.evacuate(
             EvacuationOrder(domain=domain, active=active, seen_edition=seen),
--- a/packages/edge/src/hitchdeck_edge/model/mechanisms.py
+++ b/packages/edge/src/hitchdeck_edge/model/mechanisms.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, fields
 
-from hitchdeck_core.checks import check_flag
+from hitchdeck_core.checks import check_boolean
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     def __post_init__(self) -> None:
         """Refuse a mechanism that is neither on nor off."""
         for one in fields(self):
-            check_flag(getattr(self, one.name))
+            check_boolean(getattr(self, one.name))
 
 
 ALL_MECHANISMS = Mechanisms()
--- a/packages/edge/src/hitchdeck_edge/settings.py
+++ b/packages/edge/src/hitchdeck_edge/settings.py
@@ -7,7 +7,7 @@
 
 from hitchdeck_core.checks import (
     check_address,
-    check_flag,
+    check_boolean,
     check_name,
     check_number,
     check_text,
@@ -25,7 +25,7 @@
 Check = Callable[[object], object]
 
 _positive = partial(check_number, above=0)
-_not_negative = partial(check_number, least=0)
+_not_negative = partial(check_number, minimum=0)
 _BOX_CHECKS: tuple[tuple[str, Check], ...] = (
     ('box', check_name),
     ('domain', check_name),
@@ -35,14 +35,14 @@
     ('retry_share', _not_negative),
     ('retry_extra', _not_negative),
     ('retry_window', _not_negative),
-    ('fleet_token', partial(check_text, least=MIN_TOKEN_LENGTH)),
+    ('fleet_token', partial(check_text, min_length=MIN_TOKEN_LENGTH)),
 )
 _HUB_CHECKS: tuple[tuple[str, Check], ...] = (
-    ('may_found', check_flag),
+    ('may_found', check_boolean),
     ('disks_lost', _not_negative),
     ('report_period', _positive),
-    ('heartbeat', partial(check_number, above=0, most=_MAX_HEARTBEAT_SECONDS)),
-    ('election_timeout', partial(check_number, above=0, most=_MAX_ELECTION_SECONDS)),
+    ('heartbeat', partial(check_number, above=0, maximum=_MAX_HEARTBEAT_SECONDS)),
+    ('election_timeout', partial(check_number, above=0, maximum=_MAX_ELECTION_SECONDS)),
 )
 
 
