--- a/packages/control/src/hitchdeck_control/answers.py
+++ b/packages/control/src/hitchdeck_control/answers.py
@@ -38,10 +38,10 @@
 def _resources(leader: Leader, query: ListResources) -> ResourceList:
     state = leader.machine.state
     chosen = [
-        StoredResource(resource=kept.resource, version=kept.version)
-        for kept in state.resources.values()
-        if query.kind in {'', kept.resource.kind}
-        and query.name in {'', kept.resource.name}
+        StoredResource(resource=stored.resource, version=stored.version)
+        for stored in state.resources.values()
+        if query.kind in {'', stored.resource.kind}
+        and query.name in {'', stored.resource.name}
     ]
     return ResourceList(version=state.version, resources=tuple(chosen))
 
@@ -71,8 +71,8 @@
         members=tuple(_members(leader)),
         routers=tuple(_routers(leader)),
         shards=tuple(
-            ShardStatus(shard=shard, router=duty.router, epoch=duty.epoch)
-            for shard, duty in sorted(state.duties.items())
+            ShardStatus(shard=shard, router=assignment.router, epoch=assignment.epoch)
+            for shard, assignment in sorted(state.duties.items())
         ),
         usage=tuple(
             AccountUsage(account=account, cost=cost)
--- a/packages/control/src/hitchdeck_control/fleet/deltas.py
+++ b/packages/control/src/hitchdeck_control/fleet/deltas.py
@@ -1,7 +1,7 @@
 """Configuration changes as routers receive them."""
 
 from hitchdeck_control.machine.configuration import changes_since
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_core.resources import encode_resource
 from hitchdeck_core.wire.hitchdeck_pb2 import Delta, ResourceChange
 
@@ -14,7 +14,7 @@
     12,000 upstreams busy for longer than its lease.
     """
 
-    def __init__(self, machine: Machine) -> None:
+    def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.version = 0
         self.by_start: dict[int, Delta] = {}
@@ -29,7 +29,7 @@
         return self.by_start[version]
 
 
-def delta_from(machine: Machine, version: int) -> Delta:
+def delta_from(machine: StateMachine, version: int) -> Delta:
     """Return what a router at a version lacks, all of it if need be."""
     state = machine.state
     changes = changes_since(state, version) if version else None
@@ -38,19 +38,19 @@
             version=state.version,
             full=True,
             changes=[
-                _written(key, encode_resource(kept.resource))
-                for key, kept in state.resources.items()
+                _written(key, encode_resource(stored.resource))
+                for key, stored in state.resources.items()
             ],
         )
     keys = dict.fromkeys(f'{one.kind}/{one.name}' for one in changes)
     delta = Delta(from_version=version, version=state.version)
     for key in keys:
-        kept = state.resources.get(key)
-        if kept is None:
+        stored = state.resources.get(key)
+        if stored is None:
             kind, _, name = key.partition('/')
             delta.changes.append(ResourceChange(kind=kind, name=name, deleted=True))
         else:
-            delta.changes.append(_written(key, encode_resource(kept.resource)))
+            delta.changes.append(_written(key, encode_resource(stored.resource)))
     return delta
 
 
--- a/packages/control/src/hitchdeck_control/fleet/duties.py
+++ b/packages/control/src/hitchdeck_control/fleet/duties.py
@@ -16,38 +16,38 @@
 
 def shards_of(state: MachineState) -> Iterator[ShardId]:
     """Yield every shard of every pool."""
-    for kept in state.resources.values():
-        if isinstance(kept.resource, Pool):
-            for number in range(kept.resource.shards):
-                yield shard_id(PoolName(kept.resource.name), number)
+    for stored in state.resources.values():
+        if isinstance(stored.resource, Pool):
+            for number in range(stored.resource.shards):
+                yield shard_id(PoolName(stored.resource.name), number)
 
 
-def needed_moves(
+def needed_assignments(
     state: MachineState,
     alive: Iterable[Presence],
 ) -> list[AssignShard]:
     """Return the assignments that shards without a good holder need."""
     present = list(alive)
-    staying = {
+    candidates = {
         one.hello.router: one
         for one in present
         if not one.leaving and one.lost_at is None
     }
-    # A holder whose connection broke a moment ago keeps its duty.
-    holding = {one.hello.incarnation for one in present if not one.leaving}
-    moves = []
+    # A holder whose connection broke a moment ago keeps its assignment.
+    holders = {one.hello.incarnation for one in present if not one.leaving}
+    assignments = []
     for shard in shards_of(state):
-        duty = state.duties.get(shard)
-        if duty is not None and duty.incarnation in holding:
+        assignment = state.duties.get(shard)
+        if assignment is not None and assignment.incarnation in holders:
             continue
-        if not staying:
+        if not candidates:
             continue
-        router = ranked(shard, staying)[0]
-        moves.append(
+        router = ranked(shard, candidates)[0]
+        assignments.append(
             AssignShard(
                 shard=shard,
                 router=router,
-                incarnation=Incarnation(staying[router].hello.incarnation),
+                incarnation=Incarnation(candidates[router].hello.incarnation),
             ),
         )
-    return moves
+    return assignments
--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -6,11 +6,11 @@
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
 from hitchdeck_control.fleet.deltas import Deltas
 from hitchdeck_control.fleet.directory import DirectoryState
-from hitchdeck_control.fleet.duties import needed_moves
+from hitchdeck_control.fleet.duties import needed_assignments
 from hitchdeck_control.fleet.presence import Presence, Routers
 from hitchdeck_control.fleet.usage import UsageTable
-from hitchdeck_control.machine.machine import Machine
-from hitchdeck_control.machine.state import Duty
+from hitchdeck_control.machine.machine import StateMachine
+from hitchdeck_control.machine.state import ShardAssignment
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock, boot_seconds, wall_seconds
@@ -20,7 +20,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.wire.hitchdeck_pb2 import ShardEntry
 
-_DUTY_PERIOD = 0.2
+_ASSIGNMENT_PERIOD_SECONDS = 0.2
 _CLOCK_DRIFT = 1.05
 """Factor on lease waits for clocks that run at different rates."""
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         replica: Replica,
-        machine: Machine,
+        machine: StateMachine,
         lease_seconds: float,
         now: Clock = boot_seconds,
         wall: Callable[[], float] = wall_seconds,
@@ -47,7 +47,7 @@
         self.usage = UsageTable()
         self.directory = DirectoryState()
         # Kept from one leadership to the next: it binds whoever leads.
-        self.quarantine = Quarantine(now, machine.news)
+        self.quarantine = Quarantine(now, machine.version_changed)
 
     def check_leads(self) -> None:
         """Raise ``NotLeaderError`` unless this replica surely leads now."""
@@ -106,19 +106,21 @@
         by_incarnation = {one.hello.incarnation: one for one in alive}
         routers = {one.hello.incarnation: one.entry() for one in alive}
         shards = {
-            shard: _shard_entry(shard, duty, by_incarnation[duty.incarnation])
-            for shard, duty in self.machine.state.duties.items()
-            if duty.incarnation in by_incarnation
+            shard: _shard_entry(
+                shard, assignment, by_incarnation[assignment.incarnation]
+            )
+            for shard, assignment in self.machine.state.duties.items()
+            if assignment.incarnation in by_incarnation
         }
         known = self.directory
         if (routers, shards) != (known.routers, known.shards):
             self.directory = DirectoryState(known.number + 1, routers, shards)
-            self.machine.news.notify()
+            self.machine.version_changed.notify()
 
-    async def assign_duties(self) -> None:
+    async def assign_shards(self) -> None:
         """Give every shard a scheduler that is alive; for ever."""
         while True:
-            await self.routers.roster_changed.wait(_DUTY_PERIOD)
+            await self.routers.roster_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
             try:
                 self.check_leads()
                 for gone in self.routers.forget_lapsed():
@@ -126,19 +128,23 @@
                 await self._assign_once()
                 self.refresh_directory()
             except (NotLeaderError, OutcomeUnknownError):
-                await self.replica.role_changed.wait(_DUTY_PERIOD)
+                await self.replica.role_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
 
     async def _assign_once(self) -> None:
-        for move in needed_moves(self.machine.state, self.routers.alive()):
-            await self.execute(move)
-            logs.info('shard assigned', shard=move.shard, router=move.router)
+        for assignment in needed_assignments(self.machine.state, self.routers.alive()):
+            await self.execute(assignment)
+            logs.info(
+                'shard assigned', shard=assignment.shard, router=assignment.router
+            )
 
 
-def _shard_entry(shard: ShardId, duty: Duty, holder: Presence) -> ShardEntry:
+def _shard_entry(
+    shard: ShardId, assignment: ShardAssignment, holder: Presence
+) -> ShardEntry:
     return ShardEntry(
         shard=shard,
-        router=duty.router,
-        incarnation=duty.incarnation,
-        epoch=duty.epoch,
+        router=assignment.router,
+        incarnation=assignment.incarnation,
+        epoch=assignment.epoch,
         wire_address=holder.hello.wire_address,
     )
--- a/packages/control/src/hitchdeck_control/fleet/orders.py
+++ b/packages/control/src/hitchdeck_control/fleet/orders.py
@@ -59,7 +59,7 @@
     async def run(self) -> None:
         """Send whatever is open; for ever."""
         while True:
-            await self.leader.machine.news.wait(_PERIOD)
+            await self.leader.machine.version_changed.wait(_PERIOD)
             try:
                 self.leader.check_leads()
             except NotLeaderError:
@@ -90,12 +90,12 @@
             logs.info('order left to the next leader', reason=str(error))
 
     async def _send_until_answered(self, sequence: int, order: Order) -> FinishOrder:
-        kept = self.leader.machine.state.resources.get(
+        stored = self.leader.machine.state.resources.get(
             f'upstream/{order.order.upstream}',
         )
-        if kept is None or not isinstance(kept.resource, Upstream):
+        if stored is None or not isinstance(stored.resource, Upstream):
             return FinishOrder(sequence=sequence, state='failed', detail='no upstream')
-        upstream = kept.resource
+        upstream = stored.resource
         if not upstream.checks_fences:
             await self._wait_out_earlier_senders()
             if await _has_it_already(upstream, order):
--- a/packages/control/src/hitchdeck_control/fleet/watch.py
+++ b/packages/control/src/hitchdeck_control/fleet/watch.py
@@ -100,7 +100,7 @@
 ) -> None:
     while True:
         if sent.version >= leader.machine.state.version:
-            await leader.machine.news.wait(_LONGEST_WAIT)
+            await leader.machine.version_changed.wait(_LONGEST_WAIT)
         frame = _news(leader, presence, sent)
         if frame.ByteSize():
             await stream.send_message(frame)
@@ -139,8 +139,8 @@
     sent: Sent,
 ) -> Iterator[UsageSum]:
     """Yield the sums that the schedulers on a router need."""
-    for shard, duty in leader.machine.state.duties.items():
-        if duty.incarnation == presence.hello.incarnation:
+    for shard, assignment in leader.machine.state.duties.items():
+        if assignment.incarnation == presence.hello.incarnation:
             yield from leader.usage.elsewhere(shard, sent.usage_position)
 
 
--- a/packages/control/src/hitchdeck_control/machine/configuration.py
+++ b/packages/control/src/hitchdeck_control/machine/configuration.py
@@ -2,11 +2,11 @@
 
 from expression import Error, Ok, Result
 
-from hitchdeck_control.machine.state import Change, Kept, MachineState
+from hitchdeck_control.machine.state import Change, MachineState, VersionedResource
 from hitchdeck_core.commands import Batch, Delete, Put
 from hitchdeck_core.outcomes import Applied, Refused
 
-_KEPT_CHANGES = 4000
+_MAX_CHANGES = 4000
 """An hour's cut at 28,000 changes a day is 1,167; a router that is further
 behind gets everything, which at 12,000 upstreams takes it seconds."""
 
@@ -21,13 +21,13 @@
 def apply_batch(state: MachineState, batch: Batch) -> Result[Applied, Refused]:
     """Make all changes of a batch, or none; one batch is one version."""
     for write in batch.changes:
-        refusal = _refusal(state, write)
+        refusal = _check_precondition(state, write)
         if refusal is not None:
             return Error(refusal)
     state.version += 1
     for write in batch.changes:
         _write(state, write)
-    state.changes = state.changes[-_KEPT_CHANGES:]
+    state.changes = state.changes[-_MAX_CHANGES:]
     return Ok(Applied(version=state.version))
 
 
@@ -41,16 +41,16 @@
     return [change for change in state.changes if change.version > version]
 
 
-def _refusal(state: MachineState, write: Write) -> Refused | None:
+def _check_precondition(state: MachineState, write: Write) -> Refused | None:
     key = _key_of(write)
-    kept = state.resources.get(key)
-    if isinstance(write, Delete) and kept is None:
+    stored = state.resources.get(key)
+    if isinstance(write, Delete) and stored is None:
         return Refused(code='not-found', reason=f'there is no {key}')
-    present = kept.version if kept else 0
-    if write.based_on not in {None, present}:
+    current_version = stored.version if stored else 0
+    if write.based_on not in {None, current_version}:
         return Refused(
             code='version-conflict',
-            reason=f'{key} is at version {present}, not {write.based_on}',
+            reason=f'{key} is at version {current_version}, not {write.based_on}',
         )
     return None
 
@@ -63,7 +63,9 @@
     if isinstance(write, Delete):
         state.resources.pop(key, None)
         return
-    state.resources[key] = Kept(resource=write.resource, version=state.version)
+    state.resources[key] = VersionedResource(
+        resource=write.resource, version=state.version
+    )
 
 
 def _key_of(write: Write) -> str:
--- a/packages/control/src/hitchdeck_control/machine/ledger.py
+++ b/packages/control/src/hitchdeck_control/machine/ledger.py
@@ -9,7 +9,7 @@
 from hitchdeck_core.commands import Claim, Settle
 from hitchdeck_core.outcomes import Applied, Granted, Outcome, Pending, Refused, Settled
 
-_CLOCK_ALLOWANCE = 300.0
+_CLOCK_SKEW_SECONDS = 300.0
 """Seconds by which a caller's clock may run ahead of the group's."""
 
 
@@ -23,11 +23,11 @@
     """
     if claim.issued + retention <= state.clock:
         return Refused(code='expired', reason='the key is past its retention')
-    if claim.issued > state.clock + _CLOCK_ALLOWANCE:
+    if claim.issued > state.clock + _CLOCK_SKEW_SECONDS:
         return Refused(code='invalid', reason='the key is issued in the future')
     entry = state.claims.get(ledger_key(claim.account, claim.key))
     if entry is not None:
-        return _answer_known(entry, claim)
+        return _answer_existing_claim(entry, claim)
     state.claims[ledger_key(claim.account, claim.key)] = ClaimEntry(
         digest=claim.digest,
         router=claim.router,
@@ -71,7 +71,7 @@
     return f'{account}/{key}'
 
 
-def _answer_known(entry: ClaimEntry, claim: Claim) -> Outcome:
+def _answer_existing_claim(entry: ClaimEntry, claim: Claim) -> Outcome:
     if entry.digest != claim.digest:
         return Refused(
             code='content-conflict',
--- a/packages/control/src/hitchdeck_control/machine/machine.py
+++ b/packages/control/src/hitchdeck_control/machine/machine.py
@@ -3,7 +3,7 @@
 from expression import Result
 
 from hitchdeck_control.machine import configuration, ledger, remembering
-from hitchdeck_control.machine.state import Duty, MachineState, Order
+from hitchdeck_control.machine.state import MachineState, Order, ShardAssignment
 from hitchdeck_core.commands import (
     AssignShard,
     Batch,
@@ -21,8 +21,8 @@
 from hitchdeck_core.outcomes import Applied, Outcome, Refused
 from hitchdeck_core.signals import Signal
 
-_KEPT_ORDERS = 1000
-_EXPIRY_PERIOD = 10.0
+_MAX_ORDERS = 1000
+_EXPIRY_PERIOD_SECONDS = 10.0
 
 
 def first_command() -> bytes:
@@ -30,14 +30,14 @@
     return submission_codec.dump_json(Submission(command=NoOperation()))
 
 
-class Machine:
+class StateMachine:
     """The replicated state and the only code that changes it."""
 
     def __init__(self, ledger_retention: float) -> None:
         self.state = MachineState()
         # Notified with each new configuration version; claims, which are far
         # more frequent, wake none of the routers' streams.
-        self.news = Signal()
+        self.version_changed = Signal()
         self.ledger_retention = ledger_retention
 
     def apply(self, encoded: bytes) -> Outcome:
@@ -46,14 +46,14 @@
         # The log's own clock never runs back, whoever leads.
         self.state.clock = max(self.state.clock, submission.taken_at)
         self._expire()
-        answer = remembering.earlier_answer(self.state, submission)
+        answer = remembering.find_recorded_outcome(self.state, submission)
         if answer is not None:
             return answer
         version = self.state.version
         outcome = self._run(submission.command)
         if self.state.version != version:
-            self.news.notify()
-        remembering.remember(self.state, submission, outcome)
+            self.version_changed.notify()
+        remembering.record_outcome(self.state, submission, outcome)
         return outcome
 
     def dump(self) -> bytes:
@@ -65,7 +65,7 @@
         self.state = MachineState.model_validate_json(encoded or b'{}')
 
     def _expire(self) -> None:
-        if self.state.clock < self.state.last_expiry + _EXPIRY_PERIOD:
+        if self.state.clock < self.state.last_expiry + _EXPIRY_PERIOD_SECONDS:
             return
         self.state.last_expiry = self.state.clock
         ledger.drop_expired(self.state)
@@ -73,10 +73,10 @@
     def _run(self, command: Command) -> Outcome:
         match command:
             case Batch():
-                return _merged(configuration.apply_batch(self.state, command))
+                return _to_outcome(configuration.apply_batch(self.state, command))
             case Put() | Delete():
                 batch = Batch(changes=(command,))
-                return _merged(configuration.apply_batch(self.state, batch))
+                return _to_outcome(configuration.apply_batch(self.state, batch))
             case Claim():
                 return ledger.apply_claim(
                     self.state,
@@ -95,7 +95,7 @@
 
     def _assign(self, command: AssignShard) -> Outcome:
         self.state.last_epoch += 1
-        self.state.duties[command.shard] = Duty(
+        self.state.duties[command.shard] = ShardAssignment(
             router=command.router,
             incarnation=command.incarnation,
             epoch=self.state.last_epoch,
@@ -110,7 +110,7 @@
             )
         self.state.last_order += 1
         self.state.orders[self.state.last_order] = Order(order=command)
-        if len(self.state.orders) > _KEPT_ORDERS:
+        if len(self.state.orders) > _MAX_ORDERS:
             finished = (
                 number
                 for number, order in self.state.orders.items()
@@ -128,5 +128,5 @@
         return Applied(version=self.state.version)
 
 
-def _merged(result: Result[Applied, Refused]) -> Outcome:
+def _to_outcome(result: Result[Applied, Refused]) -> Outcome:
     return result.ok if result.is_ok() else result.error
--- a/packages/control/src/hitchdeck_control/machine/remembering.py
+++ b/packages/control/src/hitchdeck_control/machine/remembering.py
@@ -1,13 +1,15 @@
 """Operators' commands by number: a resend gets the first answer."""
 
-from hitchdeck_control.machine.state import MachineState, Remembered
+from hitchdeck_control.machine.state import MachineState, RecordedOutcome
 from hitchdeck_core.commands import Submission
 from hitchdeck_core.outcomes import Outcome, Refused
 
-_KEPT_NUMBERS = 128
+_MAX_NUMBERS_PER_OPERATOR = 128
 
 
-def earlier_answer(state: MachineState, submission: Submission) -> Outcome | None:
+def find_recorded_outcome(
+    state: MachineState, submission: Submission
+) -> Outcome | None:
     """Return what a submission must be answered without running it.
 
     ``None`` means that its number is new.  Numbers below those remembered
@@ -18,8 +20,8 @@
     numbers = state.remembered.get(submission.operator, {})
     earlier = numbers.get(submission.number)
     if earlier is not None:
-        return _answer_again(earlier, submission)
-    if len(numbers) >= _KEPT_NUMBERS and submission.number < min(numbers):
+        return _replay_outcome(earlier, submission)
+    if len(numbers) >= _MAX_NUMBERS_PER_OPERATOR and submission.number < min(numbers):
         return Refused(
             code='number-too-old',
             reason=f'number {submission.number} is older than any remembered',
@@ -27,7 +29,7 @@
     return None
 
 
-def remember(
+def record_outcome(
     state: MachineState,
     submission: Submission,
     outcome: Outcome,
@@ -36,15 +38,15 @@
     if not submission.operator:
         return
     numbers = state.remembered.setdefault(submission.operator, {})
-    numbers[submission.number] = Remembered(
+    numbers[submission.number] = RecordedOutcome(
         digest=submission.digest,
         outcome=outcome,
     )
-    if len(numbers) > _KEPT_NUMBERS:
+    if len(numbers) > _MAX_NUMBERS_PER_OPERATOR:
         numbers.pop(min(numbers))
 
 
-def _answer_again(earlier: Remembered, submission: Submission) -> Outcome:
+def _replay_outcome(earlier: RecordedOutcome, submission: Submission) -> Outcome:
     if earlier.digest == submission.digest:
         return earlier.outcome
     return Refused(
--- a/packages/control/src/hitchdeck_control/machine/state.py
+++ b/packages/control/src/hitchdeck_control/machine/state.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.resources import Resource
 
 
-class Kept(BaseModel):
+class VersionedResource(BaseModel):
     """A resource and the configuration version that last wrote it."""
 
     resource: Resource
@@ -23,7 +23,7 @@
     name: str
 
 
-class Remembered(BaseModel):
+class RecordedOutcome(BaseModel):
     """What an operator's command was and what it was answered."""
 
     digest: str
@@ -45,7 +45,7 @@
     body: str = ''
 
 
-class Duty(BaseModel):
+class ShardAssignment(BaseModel):
     """Who schedules a shard; a higher epoch outranks."""
 
     router: str
@@ -67,11 +67,11 @@
     version: int = 0
     clock: float = 0
     last_expiry: float = 0
-    resources: dict[str, Kept] = Field(default_factory=dict)
+    resources: dict[str, VersionedResource] = Field(default_factory=dict)
     changes: list[Change] = Field(default_factory=list)
-    remembered: dict[str, dict[int, Remembered]] = Field(default_factory=dict)
+    remembered: dict[str, dict[int, RecordedOutcome]] = Field(default_factory=dict)
     claims: dict[str, ClaimEntry] = Field(default_factory=dict)
-    duties: dict[ShardId, Duty] = Field(default_factory=dict)
+    duties: dict[ShardId, ShardAssignment] = Field(default_factory=dict)
     last_epoch: int = 0
     orders: dict[int, Order] = Field(default_factory=dict)
     last_order: int = 0
--- a/packages/control/src/hitchdeck_control/process.py
+++ b/packages/control/src/hitchdeck_control/process.py
@@ -9,7 +9,7 @@
 from hitchdeck_control.errors import DiskFailedError
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.orders import OrderSender, WeightStore
-from hitchdeck_control.machine.machine import Machine, first_command
+from hitchdeck_control.machine.machine import StateMachine, first_command
 from hitchdeck_control.raft import replication
 from hitchdeck_control.raft.election import watch_leader
 from hitchdeck_control.raft.links import Links
@@ -66,7 +66,7 @@
     supervisor.permanent('replication', lambda: replication.replicate(replica, links))
     supervisor.permanent('log', lambda: replication.write_log(replica))
     supervisor.permanent('apply', lambda: replication.apply_log(replica))
-    supervisor.permanent('duties', leader.assign_duties)
+    supervisor.permanent('duties', leader.assign_shards)
     orders = OrderSender(leader, WeightStore(section.weight_store_rate))
     supervisor.permanent('orders', orders.run)
     server = await serve(
@@ -81,10 +81,10 @@
 def _open_replica(
     settings: Settings,
     section: ControlSection,
-) -> tuple[Replica, Machine]:
+) -> tuple[Replica, StateMachine]:
     box = BoxName(settings.box)
     identity = open_identity(section.data_folder, box)
-    machine = Machine(section.ledger_retention)
+    machine = StateMachine(section.ledger_retention)
     replica = Replica(
         Self(identity, box, section.listen),
         DurableLog(section.data_folder),
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.machine.machine import Machine, first_command
+from hitchdeck_control.machine.machine import StateMachine, first_command
 from hitchdeck_control.raft import membership, replication
 from hitchdeck_control.raft.election import answer_vote, watch_leader
 from hitchdeck_control.raft.links import Links
@@ -76,7 +76,7 @@
 
     name: str
     replica: Replica
-    machine: Machine
+    machine: StateMachine
     tasks: Supervisor
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
@@ -94,7 +94,7 @@
         """Start a replica on a folder, its own by default."""
         path = self.folder / (folder or name)
         box = BoxName(name)
-        machine = Machine(1000)
+        machine = StateMachine(1000)
         replica = Replica(
             Self(open_identity(path, box), box, Address(name)),
             DurableLog(path),
--- a/tests/cover/test_machine.py
+++ b/tests/cover/test_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_core.commands import (
     AssignShard,
     Batch,
@@ -26,7 +26,7 @@
 
 
 def submit(
-    machine: Machine,
+    machine: StateMachine,
     command: Command,
     operator: str = '',
     number: int = 0,
@@ -75,9 +75,9 @@
     )
 
 
-def reloaded(machine: Machine) -> Machine:
+def reloaded(machine: StateMachine) -> StateMachine:
     """Return a machine made from another's snapshot."""
-    again = Machine(RETENTION)
+    again = StateMachine(RETENTION)
     again.load(machine.dump())
     return again
 
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize('through_snapshot', [False, True])
 def test_resend_gets_the_first_answer(through_snapshot: bool) -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     first = submit(machine, put('x'), 'ann', 1)
     submit(machine, put('y'), 'ann', 2)
     if through_snapshot:
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize('through_snapshot', [False, True])
 def test_equal_number_with_other_content_is_a_conflict(through_snapshot: bool) -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     submit(machine, put('x', 1), 'ann', 1)
     if through_snapshot:
         machine = reloaded(machine)
@@ -109,7 +109,7 @@
 
 
 def test_forgotten_number_is_refused_rather_than_run() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     for number in range(10, 200):
         submit(machine, put('x', number), 'ann', number)
     assert code_of(submit(machine, put('x', 10), 'ann', 10)) == 'number-too-old'
@@ -117,7 +117,7 @@
 
 
 def test_one_of_two_racing_writes_wins() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     assert submit(machine, put('x', 1, based_on=0), 'ann', 1) == Applied(version=1)
     loser = submit(machine, put('x', 2, based_on=0), 'bob', 1)
     assert code_of(loser) == 'version-conflict'
@@ -125,14 +125,14 @@
 
 
 def test_batch_is_all_or_nothing() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     batch = Batch(changes=(put('x'), Delete(kind='account', name='missing')))
     assert code_of(submit(machine, batch)) == 'not-found'
     assert not machine.state.resources
 
 
 def test_second_claim_waits_and_then_gets_the_answer() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     assert submit(machine, claim()) == Granted()
     assert submit(machine, claim()) == Granted(), 'the holder asks again'
     assert isinstance(submit(machine, claim(request='r2')), Pending)
@@ -153,13 +153,13 @@
     ],
 )
 def test_claim_is_refused(command: Claim, taken_at: float, code: str) -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     submit(machine, claim())
     assert code_of(submit(machine, command, taken_at=taken_at)) == code
 
 
 def test_not_run_frees_the_key_and_only_for_its_holder() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     submit(machine, claim())
     assert code_of(submit(machine, settle('not-run', 'r2'))) == 'not-found'
     submit(machine, settle('not-run'))
@@ -167,7 +167,7 @@
 
 
 def test_ledger_forgets_after_the_retention() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     submit(machine, claim())
     submit(machine, put('x'), taken_at=1000 + RETENTION)
     assert not machine.state.claims
@@ -175,7 +175,7 @@
 
 
 def test_epochs_only_rise() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     for life in ('one', 'two', 'one'):
         submit(
             machine,
@@ -189,6 +189,6 @@
 
 
 def test_order_needs_its_upstream() -> None:
-    machine = Machine(RETENTION)
+    machine = StateMachine(RETENTION)
     order = PlaceOrder(upstream='missing', action='load', target='m')
     assert code_of(submit(machine, order)) == 'not-found'
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -12,7 +12,7 @@
 from hitchdeck_control.fleet import orders
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.orders import OrderSender, WeightStore
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_control.raft.replica import Leadership
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.commands import Command, FinishOrder, PlaceOrder, Put
@@ -39,7 +39,7 @@
 class FakeLeader:
     """A leader that may lose office after some checks."""
 
-    machine: Machine
+    machine: StateMachine
     replica: FakeReplica
     checks_left: int = 1000
     finished: list[FinishOrder] = field(default_factory=list)
@@ -89,7 +89,7 @@
     records = tmp_path / 'records'
     engine = Engine('e', 4, 0, Recorder(records))
     server = make_app(engine).listen(port, '127.0.0.1')
-    machine = Machine(1000)
+    machine = StateMachine(1000)
     address = Address(f'127.0.0.1:{port}')
     submit(machine, Put(resource=Upstream(name='e', address=address)))
     submit(machine, PlaceOrder(upstream='e', action='load', target='m'))
--- a/tests/fuzz/test_machine_fuzz.py
+++ b/tests/fuzz/test_machine_fuzz.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_core.commands import Command, Delete
 from hitchdeck_core.outcomes import Applied, Granted, Outcome, Pending, Refused, Settled
 from tests.cover.test_machine import RETENTION, claim, put, settle, submit
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.machine = Machine(RETENTION)
+        self.machine = StateMachine(RETENTION)
         self.versions: dict[str, int] = {}
         self.version = 0
         self.answers: dict[tuple[str, int], tuple[Command, Outcome]] = {}
@@ -58,7 +58,7 @@
     def reload(self) -> None:
         """Go through a snapshot."""
         encoded = self.machine.dump()
-        self.machine = Machine(RETENTION)
+        self.machine = StateMachine(RETENTION)
         self.machine.load(encoded)
 
     @rule(seconds=st.floats(0, 40))
@@ -125,7 +125,7 @@
 
     def _expected(self, command: Command, name: str) -> Outcome:
         present = self.versions.get(name, 0)
-        outcome = submit(Machine(RETENTION), command)
+        outcome = submit(StateMachine(RETENTION), command)
         if isinstance(command, Delete):
             if not present:
                 assert isinstance(outcome, Refused)
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -72,7 +72,7 @@
     Mechanism(
         'version check of writes',
         f'{_CONTROL}/machine/configuration.py',
-        'if write.based_on not in {None, present}:',
+        'if write.based_on not in {None, current_version}:',
         'if False:',
         'test_one_of_two_racing_writes_wins',
     ),
@@ -156,8 +156,8 @@
     Mechanism(
         'duties move when their holder is lost',
         f'{_CONTROL}/fleet/duties.py',
-        'if duty is not None and duty.incarnation in holding:',
-        'if duty is not None:',
+        'if assignment is not None and assignment.incarnation in holders:',
+        'if assignment is not None:',
         'test_loss_of_the_scheduler_loses_no_answer',
     ),
     Mechanism(
