--- a/packages/control/src/hitchdeck_control/answers.py
+++ b/packages/control/src/hitchdeck_control/answers.py
@@ -20,7 +20,7 @@
     WaitInForce,
 )
 
-_LONGEST_POLL = 0.25
+_MAX_POLL_SECONDS = 0.25
 
 
 async def answer(leader: Leader, query: Query) -> Message:
@@ -57,7 +57,7 @@
                 in_force=reached and not laggards,
                 laggards=tuple(laggards),
             )
-        await leader.routers.changed.wait(min(left, _LONGEST_POLL))
+        await leader.routers.changed.wait(min(left, _MAX_POLL_SECONDS))
 
 
 def _status(leader: Leader) -> Status:
@@ -115,7 +115,7 @@
             http_address=one.hello.http_address,
             version=one.version,
             leaving=one.leaving,
-            connected=one.lost_at is None,
+            connected=one.disconnected_at is None,
             lease_left=max(0, one.lease_until - now),
         )
         for one in presences
--- a/packages/control/src/hitchdeck_control/errors.py
+++ b/packages/control/src/hitchdeck_control/errors.py
@@ -34,12 +34,12 @@
 class OrderError(HitchdeckError):
     """Raised when an upstream did not take an order; it may be sent again.
 
-    ``pause`` is the upstream's ``Retry-After`` in seconds.
+    ``retry_after`` is the upstream's ``Retry-After`` in seconds.
     """
 
-    def __init__(self, reason: str, pause: float = 0) -> None:
+    def __init__(self, reason: str, retry_after: float = 0) -> None:
         super().__init__(reason)
-        self.pause = pause
+        self.retry_after = retry_after
 
 
 class MembershipError(HitchdeckError):
--- a/packages/control/src/hitchdeck_control/fleet/deltas.py
+++ b/packages/control/src/hitchdeck_control/fleet/deltas.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.wire.hitchdeck_pb2 import Delta, ResourceChange
 
 
-class Deltas:
+class DeltaCache:
     """Deltas to the present version, made once for all routers.
 
     After a change every router needs the same one, and after a leader's loss
@@ -17,19 +17,19 @@
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.version = 0
-        self.by_start: dict[int, Delta] = {}
+        self.by_base_version: dict[int, Delta] = {}
 
     def since(self, version: int) -> Delta:
         """Return what a router at a version lacks."""
         if self.version != self.machine.state.version:
             self.version = self.machine.state.version
-            self.by_start.clear()
-        if version not in self.by_start:
-            self.by_start[version] = delta_from(self.machine, version)
-        return self.by_start[version]
+            self.by_base_version.clear()
+        if version not in self.by_base_version:
+            self.by_base_version[version] = build_delta(self.machine, version)
+        return self.by_base_version[version]
 
 
-def delta_from(machine: StateMachine, version: int) -> Delta:
+def build_delta(machine: StateMachine, version: int) -> Delta:
     """Return what a router at a version lacks, all of it if need be."""
     state = machine.state
     changes = changes_since(state, version) if version else None
@@ -38,7 +38,7 @@
             version=state.version,
             full=True,
             changes=[
-                _written(key, encode_resource(stored.resource))
+                _upsert(key, encode_resource(stored.resource))
                 for key, stored in state.resources.items()
             ],
         )
@@ -50,10 +50,10 @@
             kind, _, name = key.partition('/')
             delta.changes.append(ResourceChange(kind=kind, name=name, deleted=True))
         else:
-            delta.changes.append(_written(key, encode_resource(stored.resource)))
+            delta.changes.append(_upsert(key, encode_resource(stored.resource)))
     return delta
 
 
-def _written(key: str, body: bytes) -> ResourceChange:
+def _upsert(key: str, body: bytes) -> ResourceChange:
     kind, _, name = key.partition('/')
     return ResourceChange(kind=kind, name=name, body=body)
--- a/packages/control/src/hitchdeck_control/fleet/directory.py
+++ b/packages/control/src/hitchdeck_control/fleet/directory.py
@@ -22,19 +22,19 @@
 
 def difference(old: DirectoryState | None, new: DirectoryState) -> Directory:
     """Return what turns one state into another; all of it if there is none."""
-    before = old or DirectoryState()
+    previous = old or DirectoryState()
     return Directory(
         full=old is None,
         routers=[
             entry
             for name, entry in new.routers.items()
-            if before.routers.get(name) != entry
+            if previous.routers.get(name) != entry
         ],
         shards=[
             entry
             for shard, entry in new.shards.items()
-            if before.shards.get(shard) != entry
+            if previous.shards.get(shard) != entry
         ],
-        gone_routers=[name for name in before.routers if name not in new.routers],
-        gone_shards=[shard for shard in before.shards if shard not in new.shards],
+        gone_routers=[name for name in previous.routers if name not in new.routers],
+        gone_shards=[shard for shard in previous.shards if shard not in new.shards],
     )
--- a/packages/control/src/hitchdeck_control/fleet/duties.py
+++ b/packages/control/src/hitchdeck_control/fleet/duties.py
@@ -31,7 +31,7 @@
     candidates = {
         one.hello.router: one
         for one in present
-        if not one.leaving and one.lost_at is None
+        if not one.leaving and one.disconnected_at is None
     }
     # A holder whose connection broke a moment ago keeps its assignment.
     holders = {one.hello.incarnation for one in present if not one.leaving}
--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.fleet.deltas import Deltas
+from hitchdeck_control.fleet.deltas import DeltaCache
 from hitchdeck_control.fleet.directory import DirectoryState
 from hitchdeck_control.fleet.duties import needed_assignments
-from hitchdeck_control.fleet.presence import Presence, Routers
+from hitchdeck_control.fleet.presence import Presence, RouterTable
 from hitchdeck_control.fleet.usage import UsageTable
 from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_control.machine.state import ShardAssignment
@@ -21,7 +21,7 @@
 from hitchdeck_core.wire.hitchdeck_pb2 import ShardEntry
 
 _ASSIGNMENT_PERIOD_SECONDS = 0.2
-_CLOCK_DRIFT = 1.05
+_CLOCK_DRIFT_FACTOR = 1.05
 """Factor on lease waits for clocks that run at different rates."""
 
 
@@ -34,16 +34,16 @@
         machine: StateMachine,
         lease_seconds: float,
         now: Clock = boot_seconds,
-        wall: Callable[[], float] = wall_seconds,
+        wall_clock: Callable[[], float] = wall_seconds,
     ) -> None:
         self.replica = replica
         self.machine = machine
-        self.deltas = Deltas(machine)
+        self.deltas = DeltaCache(machine)
         self.lease_seconds = lease_seconds
         self.now = now
-        self.wall = wall
-        self.seen: Leadership | None = None
-        self.routers = Routers(now, lease_seconds)
+        self.wall_clock = wall_clock
+        self.observed_leadership: Leadership | None = None
+        self.routers = RouterTable(now, lease_seconds)
         self.usage = UsageTable()
         self.directory = DirectoryState()
         # Kept from one leadership to the next: it binds whoever leads.
@@ -52,9 +52,9 @@
     def check_leads(self) -> None:
         """Raise ``NotLeaderError`` unless this replica surely leads now."""
         self.replica.check_leads()
-        if self.replica.leadership is not self.seen:
-            self.seen = self.replica.leadership
-            self.routers = Routers(self.now, self.lease_seconds)
+        if self.replica.leadership is not self.observed_leadership:
+            self.observed_leadership = self.replica.leadership
+            self.routers = RouterTable(self.now, self.lease_seconds)
             self.usage = UsageTable()
             self.directory = DirectoryState()
 
@@ -79,7 +79,7 @@
             command=command,
             operator=operator,
             number=number,
-            taken_at=self.wall(),
+            taken_at=self.wall_clock(),
             digest=hashlib.sha256(encoded).hexdigest(),
         )
         outcome: Outcome = await self.replica.propose(
@@ -94,9 +94,9 @@
         lapsed an unnamed laggard is assumed.
         """
         self.check_leads()
-        assert self.seen is not None
-        known_since = self.now() - self.seen.started_at
-        if known_since < self.lease_seconds * _CLOCK_DRIFT:
+        assert self.observed_leadership is not None
+        known_since = self.now() - self.observed_leadership.started_at
+        if known_since < self.lease_seconds * _CLOCK_DRIFT_FACTOR:
             return ['(routers of the leader before)']
         return self.routers.laggards(version)
 
@@ -123,8 +123,8 @@
             await self.routers.roster_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
             try:
                 self.check_leads()
-                for gone in self.routers.forget_lapsed():
-                    self.usage.end(gone)
+                for gone in self.routers.remove_expired():
+                    self.usage.retire(gone)
                 await self._assign_once()
                 self.refresh_directory()
             except (NotLeaderError, OutcomeUnknownError):
--- a/packages/control/src/hitchdeck_control/fleet/orders.py
+++ b/packages/control/src/hitchdeck_control/fleet/orders.py
@@ -28,10 +28,10 @@
 FLIGHT_SECONDS = 5.0
 """Longest time from sending an order to its end, or the call is given up."""
 
-_PERIOD = 0.2
+_POLL_SECONDS = 0.2
 _PATH = '/admin/orders'
 _CONFLICT = 409
-_MOST_TRIES = 10
+_MAX_ATTEMPTS = 10
 
 
 @dataclass(slots=True)
@@ -54,12 +54,12 @@
     def __init__(self, leader: Leader, store: WeightStore) -> None:
         self.leader = leader
         self.store = store
-        self.under_way: dict[str, asyncio.Task[None]] = {}
+        self.in_progress: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Send whatever is open; for ever."""
         while True:
-            await self.leader.machine.version_changed.wait(_PERIOD)
+            await self.leader.machine.version_changed.wait(_POLL_SECONDS)
             try:
                 self.leader.check_leads()
             except NotLeaderError:
@@ -68,21 +68,21 @@
             self._start_next()
 
     def _start_next(self) -> None:
-        for upstream, task in list(self.under_way.items()):
+        for upstream, task in list(self.in_progress.items()):
             if task.done():
-                self.under_way.pop(upstream)
+                self.in_progress.pop(upstream)
         for sequence, order in self.leader.machine.state.orders.items():
             upstream = order.order.upstream
-            if order.state == 'open' and upstream not in self.under_way:
-                work = self._carry_out(sequence, order)
-                self.under_way[upstream] = asyncio.create_task(work)
+            if order.state == 'open' and upstream not in self.in_progress:
+                work = self._execute_order(sequence, order)
+                self.in_progress[upstream] = asyncio.create_task(work)
 
     def _stop_all(self) -> None:
-        for task in self.under_way.values():
+        for task in self.in_progress.values():
             task.cancel()
-        self.under_way.clear()
+        self.in_progress.clear()
 
-    async def _carry_out(self, sequence: int, order: Order) -> None:
+    async def _execute_order(self, sequence: int, order: Order) -> None:
         try:
             finished = await self._send_until_answered(sequence, order)
             await self.leader.execute(finished)
@@ -97,8 +97,8 @@
             return FinishOrder(sequence=sequence, state='failed', detail='no upstream')
         upstream = stored.resource
         if not upstream.checks_fences:
-            await self._wait_out_earlier_senders()
-            if await _has_it_already(upstream, order):
+            await self._wait_for_earlier_orders()
+            if await _is_applied(upstream, order):
                 return FinishOrder(sequence=sequence, state='done', detail='was so')
         if order.order.action == 'load':
             size = order.order.weight_bytes
@@ -111,22 +111,22 @@
         sequence: int,
         order: Order,
     ) -> FinishOrder:
-        problem = ''
-        for _ in range(_MOST_TRIES):
+        last_failure = ''
+        for _ in range(_MAX_ATTEMPTS):
             # Directly before the call: nothing awaits between.
             self.leader.check_leads()
             term = self.leader.replica.term
             try:
                 state = await _send(upstream, order, term, sequence)
             except OrderError as error:
-                problem = str(error)
+                last_failure = str(error)
                 # Ten tries 0.2 s apart gave up an order within a pause of 3 s.
-                await asyncio.sleep(max(_PERIOD, error.pause))
+                await asyncio.sleep(max(_POLL_SECONDS, error.retry_after))
             else:
                 return FinishOrder(sequence=sequence, state=state)
-        return FinishOrder(sequence=sequence, state='failed', detail=problem)
+        return FinishOrder(sequence=sequence, state='failed', detail=last_failure)
 
-    async def _wait_out_earlier_senders(self) -> None:
+    async def _wait_for_earlier_orders(self) -> None:
         """Wait until no order of an earlier leader can be in flight.
 
         That leader stopped to send when its lease ended, at the latest when
@@ -162,20 +162,22 @@
     except HTTPClientError as error:
         if error.code == _CONFLICT:
             return 'superseded'
-        raise OrderError(f'{upstream.name}: {error}', _pause_in(error)) from error
+        raise OrderError(
+            f'{upstream.name}: {error}', _requested_backoff(error)
+        ) from error
     except OSError as error:
         raise OrderError(f'{upstream.name}: {error}') from error
     return 'done'
 
 
-def _pause_in(error: HTTPClientError) -> float:
+def _requested_backoff(error: HTTPClientError) -> float:
     """Return the ``Retry-After`` of an error response in seconds."""
     if error.response is None:
         return 0
     return requested_backoff(error.code, error.response.headers.get(RETRY_AFTER, ''))
 
 
-async def _has_it_already(upstream: Upstream, order: Order) -> bool:
+async def _is_applied(upstream: Upstream, order: Order) -> bool:
     """Read an upstream's state, so as not to repeat what was done unseen."""
     request = HTTPRequest(
         f'http://{upstream.address}{_PATH}',
@@ -184,7 +186,7 @@
     try:
         reply = await AsyncHTTPClient().fetch(request)
     except HTTPClientError as error:
-        await asyncio.sleep(_pause_in(error))
+        await asyncio.sleep(_requested_backoff(error))
         return False
     except OSError:
         return False
--- a/packages/control/src/hitchdeck_control/fleet/presence.py
+++ b/packages/control/src/hitchdeck_control/fleet/presence.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterEntry, RouterHello
 
-_GRACE_AFTER_LOSS = 0.5
+_DISCONNECT_GRACE_SECONDS = 0.5
 """Seconds for which a router without a connection still counts as alive."""
 
 
@@ -24,7 +24,7 @@
     version: int = 0
     leaving: bool = False
     lease_until: float = float('-inf')
-    lost_at: float | None = None
+    disconnected_at: float | None = None
 
     def entry(self) -> RouterEntry:
         """Return what other routers are told about this one."""
@@ -38,7 +38,7 @@
         )
 
 
-class Routers:
+class RouterTable:
     """All router lives that this leadership has seen and not forgotten."""
 
     def __init__(self, now: Clock, lease_seconds: float) -> None:
@@ -55,13 +55,13 @@
             presence = Presence(hello)
             self.by_incarnation[hello.incarnation] = presence
         presence.hello = hello
-        presence.lost_at = None
+        presence.disconnected_at = None
         self.roster_changed.notify()
         return presence
 
     def disconnect(self, presence: Presence) -> None:
         """Record that a connection was lost."""
-        presence.lost_at = self.now()
+        presence.disconnected_at = self.now()
         self.roster_changed.notify()
 
     def acknowledge(self, presence: Presence, version: int, leaving: bool) -> None:
@@ -82,10 +82,10 @@
         """Yield the lives that may be serving or schedule now."""
         now = self.now()
         for presence in list(self.by_incarnation.values()):
-            if presence.lost_at is None and presence.lease_until > now:
+            if presence.disconnected_at is None and presence.lease_until > now:
                 yield presence
-            elif presence.lost_at is not None and (
-                now - presence.lost_at < _GRACE_AFTER_LOSS
+            elif presence.disconnected_at is not None and (
+                now - presence.disconnected_at < _DISCONNECT_GRACE_SECONDS
             ):
                 yield presence
 
@@ -98,15 +98,15 @@
             if presence.version < version and presence.lease_until > now
         )
 
-    def forget_lapsed(self) -> list[str]:
+    def remove_expired(self) -> list[str]:
         """Drop, and return, lives that are gone and whose leases ran out."""
         now = self.now()
         gone = [
             incarnation
             for incarnation, presence in self.by_incarnation.items()
-            if presence.lost_at is not None
+            if presence.disconnected_at is not None
             and presence.lease_until < now
-            and now - presence.lost_at > _GRACE_AFTER_LOSS
+            and now - presence.disconnected_at > _DISCONNECT_GRACE_SECONDS
         ]
         for incarnation in gone:
             self.by_incarnation.pop(incarnation)
--- a/packages/control/src/hitchdeck_control/fleet/usage.py
+++ b/packages/control/src/hitchdeck_control/fleet/usage.py
@@ -11,7 +11,7 @@
 
 from hitchdeck_core.wire.hitchdeck_pb2 import UsageSum
 
-_Cell = tuple[str, str]
+_UsageKey = tuple[str, str]
 """Shard and account."""
 
 
@@ -25,43 +25,43 @@
     """
 
     def __init__(self) -> None:
-        self.by_life: dict[str, dict[_Cell, int]] = {}
-        self.by_cell: dict[_Cell, int] = defaultdict(int)
+        self.by_incarnation: dict[str, dict[_UsageKey, int]] = {}
+        self.by_key: dict[_UsageKey, int] = defaultdict(int)
         self.by_account: dict[str, int] = defaultdict(int)
         self.changed_at: dict[str, int] = {}
         self.position = 0
         self.ended: set[str] = set()
 
-    def merge(self, life: str, sums: Iterable[UsageSum]) -> None:
+    def merge(self, incarnation: str, sums: Iterable[UsageSum]) -> None:
         """Take over what has grown in a router life's sums."""
-        if life in self.ended:
+        if incarnation in self.ended:
             return
-        known = self.by_life.setdefault(life, {})
+        known = self.by_incarnation.setdefault(incarnation, {})
         for one in sums:
-            cell = (one.shard, one.account)
-            growth = one.cost - known.get(cell, 0)
+            usage_key = (one.shard, one.account)
+            growth = one.cost - known.get(usage_key, 0)
             if growth <= 0:
                 continue
-            known[cell] = int(one.cost)
-            self.by_cell[cell] += int(growth)
+            known[usage_key] = int(one.cost)
+            self.by_key[usage_key] += int(growth)
             self.by_account[one.account] += int(growth)
             self.position += 1
             self.changed_at.pop(one.account, None)
             self.changed_at[one.account] = self.position
 
-    def end(self, life: str) -> None:
+    def retire(self, incarnation: str) -> None:
         """Fold a router life that is over; totals keep what it served.
 
         Should it come back after all, its sums are ignored rather than
         counted again.
         """
-        if self.by_life.pop(life, None) is not None:
-            self.ended.add(life)
+        if self.by_incarnation.pop(incarnation, None) is not None:
+            self.ended.add(incarnation)
 
-    def elsewhere(self, shard: str, position: int) -> Iterator[UsageSum]:
+    def usage_outside(self, shard: str, position: int) -> Iterator[UsageSum]:
         """Yield other shards' service for the accounts that grew since."""
         for account, changed_at in reversed(self.changed_at.items()):
             if changed_at <= position:
                 return
-            cost = self.by_account[account] - self.by_cell.get((shard, account), 0)
+            cost = self.by_account[account] - self.by_key.get((shard, account), 0)
             yield UsageSum(shard=shard, account=account, cost=cost)
--- a/packages/control/src/hitchdeck_control/fleet/watch.py
+++ b/packages/control/src/hitchdeck_control/fleet/watch.py
@@ -19,15 +19,15 @@
     UsageSum,
 )
 
-_LONGEST_WAIT = 1.0
-_USAGE_PERIOD = 0.5
-_OVERDUE_ACKNOWLEDGEMENT = 2.0
+_MAX_WAIT_SECONDS = 1.0
+_USAGE_PERIOD_SECONDS = 0.5
+_ACKNOWLEDGEMENT_TIMEOUT_SECONDS = 2.0
 
 WatchStream = Stream[RouterBeat, ControlFrame]
 
 
 @dataclass(slots=True)
-class Sent:
+class SentState:
     """What a router has been sent; versions, positions, leader's seconds."""
 
     version: int
@@ -38,7 +38,7 @@
     behind_since: float | None = None
 
 
-async def attend_router(leader: Leader, stream: WatchStream) -> None:
+async def serve_router(leader: Leader, stream: WatchStream) -> None:
     """Serve one router until its stream or this leadership ends."""
     first = await stream.recv_message()
     if first is None:
@@ -49,14 +49,14 @@
         frame = ControlFrame(leader_address=error.leader_address)
         await stream.send_message(frame)
         return
-    leadership = leader.seen
+    leadership = leader.observed_leadership
     presence = leader.routers.connect(first.hello)
-    sent = Sent(version=int(first.hello.version))
-    pushing = asyncio.create_task(_push(leader, presence, stream, sent))
+    sent = SentState(version=int(first.hello.version))
+    pushing = asyncio.create_task(_push_updates(leader, presence, stream, sent))
     try:
         await _answer_beat(leader, presence, stream, sent, first)
         async for beat in stream:
-            if leader.seen is not leadership:
+            if leader.observed_leadership is not leadership:
                 return
             await _answer_beat(leader, presence, stream, sent, beat)
     except NotLeaderError as error:
@@ -70,7 +70,7 @@
     leader: Leader,
     presence: Presence,
     stream: WatchStream,
-    sent: Sent,
+    sent: SentState,
     beat: RouterBeat,
 ) -> None:
     leader.check_leads()
@@ -79,8 +79,8 @@
         news = decode_update(beat.quarantine, leader.now())
         leader.quarantine.merge(news, presence.hello.router)
     leader.routers.acknowledge(presence, int(beat.version), beat.leaving)
-    frame = _news(leader, presence, sent)
-    if _may_have_lease(leader, presence, sent):
+    frame = _next_frame(leader, presence, sent)
+    if _may_grant_lease(leader, presence, sent):
         seconds = leader.routers.grant_lease(presence)
         frame.lease.CopyFrom(
             Lease(
@@ -92,21 +92,21 @@
     await stream.send_message(frame)
 
 
-async def _push(
+async def _push_updates(
     leader: Leader,
     presence: Presence,
     stream: WatchStream,
-    sent: Sent,
+    sent: SentState,
 ) -> None:
     while True:
         if sent.version >= leader.machine.state.version:
-            await leader.machine.version_changed.wait(_LONGEST_WAIT)
-        frame = _news(leader, presence, sent)
+            await leader.machine.version_changed.wait(_MAX_WAIT_SECONDS)
+        frame = _next_frame(leader, presence, sent)
         if frame.ByteSize():
             await stream.send_message(frame)
 
 
-def _news(leader: Leader, presence: Presence, sent: Sent) -> ControlFrame:
+def _next_frame(leader: Leader, presence: Presence, sent: SentState) -> ControlFrame:
     """Return what the router lacks, and note it as sent.
 
     Nothing awaits between reading the state and noting it, so beats and
@@ -124,8 +124,8 @@
     if news.verdicts:
         frame.quarantine.CopyFrom(encode_update(news, leader.now()))
     now = leader.now()
-    if now - sent.usage_at >= _USAGE_PERIOD:
-        frame.usage.extend(_service_elsewhere(leader, presence, sent))
+    if now - sent.usage_at >= _USAGE_PERIOD_SECONDS:
+        frame.usage.extend(_usage_of_other_shards(leader, presence, sent))
         if frame.usage:
             frame.term = leader.replica.term
         sent.usage_position = leader.usage.position
@@ -133,18 +133,18 @@
     return frame
 
 
-def _service_elsewhere(
+def _usage_of_other_shards(
     leader: Leader,
     presence: Presence,
-    sent: Sent,
+    sent: SentState,
 ) -> Iterator[UsageSum]:
     """Yield the sums that the schedulers on a router need."""
     for shard, assignment in leader.machine.state.duties.items():
         if assignment.incarnation == presence.hello.incarnation:
-            yield from leader.usage.elsewhere(shard, sent.usage_position)
+            yield from leader.usage.usage_outside(shard, sent.usage_position)
 
 
-def _may_have_lease(leader: Leader, presence: Presence, sent: Sent) -> bool:
+def _may_grant_lease(leader: Leader, presence: Presence, sent: SentState) -> bool:
     """Withhold the lease from a router that does not take up a version.
 
     A router that beats but never applies would otherwise hold up "in force
@@ -156,4 +156,4 @@
     elif sent.behind_since is None:
         sent.behind_since = now
     behind = sent.behind_since
-    return behind is None or now - behind < _OVERDUE_ACKNOWLEDGEMENT
+    return behind is None or now - behind < _ACKNOWLEDGEMENT_TIMEOUT_SECONDS
--- a/packages/control/src/hitchdeck_control/service.py
+++ b/packages/control/src/hitchdeck_control/service.py
@@ -12,7 +12,7 @@
     OutcomeUnknownError,
 )
 from hitchdeck_control.fleet.leader import Leader
-from hitchdeck_control.fleet.watch import attend_router
+from hitchdeck_control.fleet.watch import serve_router
 from hitchdeck_control.raft.membership import replace
 from hitchdeck_core.commands import Command, Put, command_codec, outcome_codec
 from hitchdeck_core.errors import ResourceError
@@ -72,7 +72,7 @@
 
     async def Watch(self, stream: Stream[RouterBeat, ControlFrame]) -> None:
         """Serve one router's stream."""
-        await attend_router(self.leader, stream)
+        await serve_router(self.leader, stream)
 
     async def Replace(self, stream: Stream[ReplaceRequest, ReplaceReply]) -> None:
         """Put a replica with a new disk in the place of its box's old one."""
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -72,7 +72,7 @@
     async def carry_out(self) -> list[FinishOrder]:
         """Have the order sent."""
         sender = OrderSender(cast(Leader, self.leader), WeightStore(1e9))
-        await sender._carry_out(1, self.leader.machine.state.orders[1])
+        await sender._execute_order(1, self.leader.machine.state.orders[1])
         return self.leader.finished
 
     def sent(self) -> list[float]:
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -204,12 +204,12 @@
     for report in (sums(a=10), sums(a=30), sums(a=10), sums(a=30)):
         table.merge('life', report)
     table.merge('other', sums(a=5))
-    table.end('life')
+    table.retire('life')
     table.merge('life', sums(a=40))
     assert table.by_account['a'] == 35
-    assert [one.cost for one in table.elsewhere('q/0', 0)] == [35]
-    assert [one.cost for one in table.elsewhere('p/0', 0)] == [0]
-    assert not list(table.elsewhere('q/0', table.position))
+    assert [one.cost for one in table.usage_outside('q/0', 0)] == [35]
+    assert [one.cost for one in table.usage_outside('p/0', 0)] == [0]
+    assert not list(table.usage_outside('q/0', table.position))
 
 
 def test_placement_prefers_the_cache_unless_it_is_full() -> None:
--- a/tests/fuzz/test_lease_fuzz.py
+++ b/tests/fuzz/test_lease_fuzz.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hitchdeck_control.fleet.presence import Routers
+from hitchdeck_control.fleet.presence import RouterTable
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterHello
 from hitchdeck_router.fleet.lease import ConfigurationLease
 
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.routers = Routers(lambda: self.now, LEASE)
+        self.routers = RouterTable(lambda: self.now, LEASE)
         self.presence = self.routers.connect(RouterHello(incarnation='r', router='r'))
         self.lease = ConfigurationLease(lambda: self.now)
         self.beats: list[int] = []
