--- a/packages/control/src/hitchdeck_control/answers.py
+++ b/packages/control/src/hitchdeck_control/answers.py
@@ -64,7 +64,7 @@
     replica = leader.replica
     state = leader.machine.state
     return Status(
-        leader=replica.me.box,
+        leader=replica.identity.box,
         term=replica.term,
         version=state.version,
         commit=replica.commit_index,
@@ -85,7 +85,7 @@
     replica = leader.replica
     members = []
     for one in replica.members():
-        mine = one.replica == replica.me.replica
+        mine = one.replica == replica.identity.replica
         match = replica.log.synced_index
         if not mine:
             match = replica.progress_of(ReplicaId(one.replica)).match
--- a/packages/control/src/hitchdeck_control/process.py
+++ b/packages/control/src/hitchdeck_control/process.py
@@ -11,9 +11,14 @@
 from hitchdeck_control.fleet.orders import OrderSender, WeightStore
 from hitchdeck_control.machine.machine import StateMachine, first_command
 from hitchdeck_control.raft import replication
-from hitchdeck_control.raft.election import watch_leader
-from hitchdeck_control.raft.links import Links
-from hitchdeck_control.raft.replica import Machinery, Replica, Self, Timing
+from hitchdeck_control.raft.election import run_elections
+from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.replica import (
+    Replica,
+    ReplicaIdentity,
+    StateMachineCallbacks,
+    Timing,
+)
 from hitchdeck_control.raft.service import ReplicationService
 from hitchdeck_control.service import ControlService
 from hitchdeck_control.storage.identity import open_identity
@@ -35,7 +40,7 @@
 
     replica: Replica
     leader: Leader
-    links: Links
+    peer_client: PeerClient
     server: Server
     supervisor: Supervisor
 
@@ -43,7 +48,7 @@
         """Stop serving, then the tasks, then close the files."""
         self.server.close()
         await self.supervisor.stop()
-        self.links.close()
+        self.peer_client.close()
         self.replica.log.close()
 
 
@@ -59,11 +64,15 @@
     assert section is not None, 'settings are checked before'
     replica, machine = _open_replica(settings, section)
     leader = Leader(replica, machine, section.router_lease)
-    links = Links(settings.fleet_token, section.election_timeout, replica.own_delay)
+    peer_client = PeerClient(
+        settings.fleet_token, section.election_timeout, replica.scheduling_delay
+    )
     # A full disk is none of these: its task starts again until there is space.
     supervisor = Supervisor('control', fatal=(DiskFailedError,))
-    supervisor.permanent('election', lambda: watch_leader(replica, links))
-    supervisor.permanent('replication', lambda: replication.replicate(replica, links))
+    supervisor.permanent('election', lambda: run_elections(replica, peer_client))
+    supervisor.permanent(
+        'replication', lambda: replication.replicate(replica, peer_client)
+    )
     supervisor.permanent('log', lambda: replication.write_log(replica))
     supervisor.permanent('apply', lambda: replication.apply_log(replica))
     supervisor.permanent('duties', leader.assign_shards)
@@ -74,8 +83,10 @@
         section.listen,
         _authorize(settings.fleet_token, section.operator_key_hashes),
     )
-    logs.info('control listens', address=section.listen, replica=replica.me.replica)
-    return ControlProcess(replica, leader, links, server, supervisor)
+    logs.info(
+        'control listens', address=section.listen, replica=replica.identity.replica
+    )
+    return ControlProcess(replica, leader, peer_client, server, supervisor)
 
 
 def _open_replica(
@@ -86,9 +97,11 @@
     identity = open_identity(section.data_folder, box)
     machine = StateMachine(section.ledger_retention)
     replica = Replica(
-        Self(identity, box, section.listen),
+        ReplicaIdentity(identity, box, section.listen),
         DurableLog(section.data_folder),
-        Machinery(machine.apply, machine.dump, machine.load, first_command()),
+        StateMachineCallbacks(
+            machine.apply, machine.dump, machine.load, first_command()
+        ),
         Timing(section.heartbeat, section.election_timeout, section.snapshot_every),
         boot_seconds,
     )
--- a/packages/control/src/hitchdeck_control/raft/election.py
+++ b/packages/control/src/hitchdeck_control/raft/election.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from hitchdeck_control.raft.links import Links
+from hitchdeck_control.raft.links import PeerClient
 from hitchdeck_control.raft.replica import Replica, Role
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
@@ -16,62 +16,62 @@
 )
 
 
-async def watch_leader(replica: Replica, links: Links) -> None:
+async def run_elections(replica: Replica, client: PeerClient) -> None:
     """Campaign whenever no leader was heard for a random while; for ever.
 
     What came while this process was behind is not read yet: its own delay must not
     count as a silence of the others, or its elections never end.
     """
     while True:
-        patience = replica.timing.election_timeout * random.uniform(1, 2)
-        await replica.own_delay.sleep(patience / 2)
-        patience += replica.own_delay.allowance()
+        timeout = replica.timing.election_timeout * random.uniform(1, 2)
+        await replica.scheduling_delay.sleep(timeout / 2)
+        timeout += replica.scheduling_delay.allowance()
         if replica.is_leader():
-            _step_down_without_quorum(replica, replica.own_delay.allowance())
-        elif replica.now() - replica.last_heard > patience and replica.is_voter():
-            await campaign(replica, links)
+            _step_down_without_quorum(replica, replica.scheduling_delay.allowance())
+        elif replica.now() - replica.last_contact_at > timeout and replica.is_voter():
+            await campaign(replica, client)
 
 
-async def campaign(replica: Replica, links: Links) -> None:
+async def campaign(replica: Replica, client: PeerClient) -> None:
     """Try to become the leader.
 
     The pre-vote keeps a replica that was cut off from raising the term: on
     its return it would depose a leader that everyone else hears.
     """
     replica.leader_id = ReplicaId('')
-    if not await _wins_round(replica, links, replica.term + 1, pre_vote=True):
+    if not await _wins_vote(replica, client, replica.term + 1, pre_vote=True):
         return
     term = replica.term + 1
     replica.role = Role.candidate
-    replica.log.save_vote(term, replica.me.replica)
+    replica.log.save_vote(term, replica.identity.replica)
     await replica.log.flush()
-    won = await _wins_round(replica, links, term, pre_vote=False)
+    won = await _wins_vote(replica, client, term, pre_vote=False)
     still_candidate = replica.role is Role.candidate and replica.term == term
     if not won or not still_candidate:
         return
-    replica.lead()
+    replica.become_leader()
     replica.log.append([_first_entry(replica)])
     replica.appended.notify()
 
 
-async def answer_vote(replica: Replica, request: VoteRequest) -> VoteReply:
+async def handle_vote(replica: Replica, request: VoteRequest) -> VoteReply:
     """Answer a request for a vote; a granted vote is synced first."""
     if not _may_vote(replica, request):
         return VoteReply(term=replica.term, granted=False)
     if request.pre_vote:
         return VoteReply(term=replica.term, granted=True)
     if request.term > replica.term:
-        replica.follow(int(request.term), replica.leader_id)
+        replica.become_follower(int(request.term), replica.leader_id)
     if replica.log.vote not in {'', request.candidate}:
         return VoteReply(term=replica.term, granted=False)
     replica.log.save_vote(int(request.term), request.candidate)
-    replica.last_heard = replica.now()
+    replica.last_contact_at = replica.now()
     await replica.log.flush()
     return VoteReply(term=request.term, granted=True)
 
 
 def _may_vote(replica: Replica, request: VoteRequest) -> bool:
-    if request.target != replica.me.replica:
+    if request.target != replica.identity.replica:
         return False
     # Whether a member votes is for the candidate to know: a newcomer may not
     # have heard yet that it votes, and the group may need its vote now.
@@ -87,7 +87,7 @@
     if replica.leadership is not None:
         silence = replica.now() - replica.quorum_contact()
     else:
-        silence = replica.now() - replica.last_heard
+        silence = replica.now() - replica.last_contact_at
     return silence < replica.timing.election_timeout
 
 
@@ -95,25 +95,27 @@
     silence = replica.now() - replica.quorum_contact()
     if silence > 2 * replica.timing.election_timeout + allowance:
         logs.warning('no quorum heard', seconds=silence, term=replica.term)
-        replica.last_heard = replica.now()
-        replica.follow(replica.term, ReplicaId(''))
+        replica.last_contact_at = replica.now()
+        replica.become_follower(replica.term, ReplicaId(''))
 
 
-async def _wins_round(
+async def _wins_vote(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     term: int,
     *,
     pre_vote: bool,
 ) -> bool:
-    others = [one for one in replica.voters() if one.replica != replica.me.replica]
+    others = [
+        one for one in replica.voters() if one.replica != replica.identity.replica
+    ]
     needed = len(replica.voters()) // 2 + 1
     granted = 1
-    calls = [_ask(replica, links, peer, term, pre_vote) for peer in others]
+    calls = [_request_vote(replica, client, peer, term, pre_vote) for peer in others]
     for call in asyncio.as_completed(calls):
         reply = await call
         if reply.term > max(term, replica.term):
-            replica.follow(int(reply.term), replica.leader_id)
+            replica.become_follower(int(reply.term), replica.leader_id)
             await replica.log.flush()
         granted += int(reply.granted)
         if granted >= needed:
@@ -121,15 +123,15 @@
     return granted >= needed
 
 
-async def _ask(
+async def _request_vote(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     peer: Member,
     term: int,
     pre_vote: bool,
 ) -> VoteReply:
     request = VoteRequest(
-        candidate=replica.me.replica,
+        candidate=replica.identity.replica,
         term=term,
         last_index=replica.log.last_index,
         last_term=replica.log.last_term,
@@ -137,7 +139,7 @@
         target=peer.replica,
     )
     try:
-        return await links.vote(Address(peer.address), request)
+        return await client.vote(Address(peer.address), request)
     except LinkError:
         return VoteReply()
 
@@ -146,5 +148,5 @@
     return Entry(
         term=replica.term,
         index=replica.log.last_index + 1,
-        command=replica.machinery.first_command,
+        command=replica.state_machine.first_command,
     )
--- a/packages/control/src/hitchdeck_control/raft/links.py
+++ b/packages/control/src/hitchdeck_control/raft/links.py
@@ -4,7 +4,7 @@
 
 from grpclib.client import Channel
 
-from hitchdeck_control.raft.delays import OwnDelay
+from hitchdeck_control.raft.delays import SchedulingDelay
 from hitchdeck_core.channels import TRANSPORT_ERRORS, open_channel
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address
@@ -20,23 +20,25 @@
 _SNAPSHOT_SECONDS = 60.0
 
 
-class Links:
+class PeerClient:
     """Channels to peers by address, opened on first use."""
 
-    def __init__(self, fleet_token: str, timeout: float, own_delay: OwnDelay) -> None:
+    def __init__(
+        self, fleet_token: str, timeout: float, scheduling_delay: SchedulingDelay
+    ) -> None:
         self.fleet_token = fleet_token
         self.timeout = timeout
-        self.own_delay = own_delay
+        self.scheduling_delay = scheduling_delay
         self.channels: dict[Address, Channel] = {}
 
     async def vote(self, address: Address, request: VoteRequest) -> VoteReply:
         """Ask for a vote, or raise ``LinkError``."""
         stub = self._stub(address)
         try:
-            async with asyncio.timeout(self._patience()):
+            async with asyncio.timeout(self._call_timeout()):
                 return await stub.Vote(request)
         except TRANSPORT_ERRORS as error:
-            raise self._broken(address, error) from error
+            raise self._drop_channel(address, error) from error
 
     async def append(
         self,
@@ -46,10 +48,10 @@
         """Send entries, or raise ``LinkError``."""
         stub = self._stub(address)
         try:
-            async with asyncio.timeout(self._patience()):
+            async with asyncio.timeout(self._call_timeout()):
                 return await stub.Append(request)
         except TRANSPORT_ERRORS as error:
-            raise self._broken(address, error) from error
+            raise self._drop_channel(address, error) from error
 
     async def install(
         self,
@@ -62,17 +64,17 @@
             async with asyncio.timeout(_SNAPSHOT_SECONDS):
                 return await stub.InstallSnapshot(request)
         except TRANSPORT_ERRORS as error:
-            raise self._broken(address, error) from error
+            raise self._drop_channel(address, error) from error
 
     def close(self) -> None:
         """Close every channel."""
         for channel in self.channels.values():
             channel.close()
 
-    def _patience(self) -> float:
-        return self.timeout + self.own_delay.allowance()
+    def _call_timeout(self) -> float:
+        return self.timeout + self.scheduling_delay.allowance()
 
-    def _broken(self, address: Address, error: BaseException) -> LinkError:
+    def _drop_channel(self, address: Address, error: BaseException) -> LinkError:
         """Drop the channel: a peer that lost power never closes its side.
 
         Kept, the connection would wait for retransmissions whose pauses grow
--- a/packages/control/src/hitchdeck_control/raft/membership.py
+++ b/packages/control/src/hitchdeck_control/raft/membership.py
@@ -27,8 +27,10 @@
         This replica is not named, or belongs to another group already.
     """
     names = {member.replica for member in members}
-    if replica.me.replica not in names:
-        raise MembershipError(f'{replica.me.replica} is not among {sorted(names)}')
+    if replica.identity.replica not in names:
+        raise MembershipError(
+            f'{replica.identity.replica} is not among {sorted(names)}'
+        )
     known = replica.members()
     if known:
         if replica.log.snapshot.last_index == 0 and _same(
@@ -36,7 +38,7 @@
             members,
         ):
             return
-        raise MembershipError(f'{replica.me.replica} is in a group already')
+        raise MembershipError(f'{replica.identity.replica} is in a group already')
     replica.log.append([Entry(term=_FIRST_TERM, index=1, members=members)])
     replica.log.save_vote(max(_FIRST_TERM, replica.term), replica.log.vote)
     await replica.log.flush()
@@ -96,7 +98,7 @@
     return [
         one
         for one in replica.voters()
-        if one.replica != replica.me.replica
+        if one.replica != replica.identity.replica
         and replica.progress_of(ReplicaId(one.replica)).acked_at < horizon
     ]
 
--- a/packages/control/src/hitchdeck_control/raft/replica.py
+++ b/packages/control/src/hitchdeck_control/raft/replica.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.raft.delays import OwnDelay
+from hitchdeck_control.raft.delays import SchedulingDelay
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
@@ -19,7 +19,7 @@
 """What a state machine answers to a command: the replica only passes it on, and
 so starts without the codecs of any machine's answers."""
 
-LEASE_SHARE = 0.8
+LEASE_FRACTION = 0.8
 """Part of the election timeout that a leader relies on; the rest is for
 clocks that run at different rates."""
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Self:
+class ReplicaIdentity:
     """Who this replica is."""
 
     replica: ReplicaId
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Machinery:
+class StateMachineCallbacks:
     """The state machine, as functions.
 
     ``first_command`` changes nothing: a new leader commits it, and with it
@@ -99,23 +99,23 @@
 
     def __init__(
         self,
-        me: Self,
+        identity: ReplicaIdentity,
         log: DurableLog,
-        machinery: Machinery,
+        state_machine: StateMachineCallbacks,
         timing: Timing,
         now: Clock,
     ) -> None:
-        self.me = me
+        self.identity = identity
         self.log = log
-        self.machinery = machinery
+        self.state_machine = state_machine
         self.timing = timing
         self.now = now
-        self.own_delay = OwnDelay(now, timing.election_timeout)
+        self.scheduling_delay = SchedulingDelay(now, timing.election_timeout)
         self.role = Role.follower
         self.leader_id = ReplicaId('')
         # A restarted replica may have promised a leader not to vote just
         # before it went down, so it counts as having heard one.
-        self.last_heard = now()
+        self.last_contact_at = now()
         self.leadership: Leadership | None = None
         self.commit_index = int(log.snapshot.last_index)
         self.applied_index = self.commit_index
@@ -124,7 +124,7 @@
         self.committed = Signal()
         self.applied = Signal()
         self.role_changed = Signal()
-        machinery.load(log.snapshot.state)
+        state_machine.load(log.snapshot.state)
 
     @property
     def term(self) -> int:
@@ -141,11 +141,11 @@
 
     def is_member(self) -> bool:
         """Tell whether this replica belongs to its group, voting or not."""
-        return any(one.replica == self.me.replica for one in self.members())
+        return any(one.replica == self.identity.replica for one in self.members())
 
     def is_voter(self) -> bool:
         """Tell whether this replica votes."""
-        return any(one.replica == self.me.replica for one in self.voters())
+        return any(one.replica == self.identity.replica for one in self.voters())
 
     def is_leader(self) -> bool:
         """Tell whether this replica leads, as far as it knows."""
@@ -177,7 +177,7 @@
         """
         if self.leadership is None:
             return False
-        lease = self.timing.election_timeout * LEASE_SHARE
+        lease = self.timing.election_timeout * LEASE_FRACTION
         recent = self.now() - self.quorum_contact() < lease
         return recent and self.applied_index >= self.leadership.first_index
 
@@ -215,7 +215,7 @@
         self.appended.notify()
         return await proposal.outcome
 
-    def follow(self, term: int, leader: ReplicaId) -> None:
+    def become_follower(self, term: int, leader: ReplicaId) -> None:
         """Become a follower; a higher term is to be flushed by the caller."""
         if term > self.term:
             self.log.save_vote(term, '')
@@ -225,14 +225,14 @@
         logs.info('follows', term=term, leader=leader)
         self.role = Role.follower
         self.leadership = None
-        self._give_up_proposals()
+        self._fail_proposals()
         self.role_changed.notify()
 
-    def lead(self) -> None:
+    def become_leader(self) -> None:
         """Become the leader of the current term."""
         logs.info('leads', term=self.term)
         self.role = Role.leader
-        self.leader_id = self.me.replica
+        self.leader_id = self.identity.replica
         first = self.log.last_index + 1
         self.leadership = Leadership(started_at=self.now(), first_index=first)
         self.role_changed.notify()
@@ -270,7 +270,7 @@
             entry = self.log.slice(self.applied_index + 1, 1)[0]
             outcome = None
             if not entry.members:
-                outcome = self.machinery.apply(entry.command)
+                outcome = self.state_machine.apply(entry.command)
             self.applied_index += 1
             self._resolve(entry, outcome)
         self.applied.notify()
@@ -282,7 +282,7 @@
             last_index=index,
             last_term=self.log.term_at(index),
             members=self._members_at(index),
-            state=self.machinery.dump(),
+            state=self.state_machine.dump(),
         )
         await self.log.compact(snapshot)
         logs.info('snapshot', index=index, bytes=len(snapshot.state))
@@ -295,12 +295,12 @@
         return list(self.log.snapshot.members)
 
     def _contact_with(self, replica: ReplicaId) -> float:
-        if replica == self.me.replica:
+        if replica == self.identity.replica:
             return self.now()
         return self.progress_of(replica).acked_at
 
     def _match_of(self, replica: ReplicaId) -> int:
-        if replica == self.me.replica:
+        if replica == self.identity.replica:
             return self.log.synced_index
         return self.progress_of(replica).match
 
@@ -313,7 +313,7 @@
         else:
             proposal.outcome.set_result(outcome)  # type: ignore[arg-type]
 
-    def _give_up_proposals(self) -> None:
+    def _fail_proposals(self) -> None:
         for proposal in self.proposals.values():
             if not proposal.outcome.done():
                 proposal.outcome.set_exception(
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hitchdeck_control.raft.links import Links
+from hitchdeck_control.raft.links import PeerClient
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
@@ -19,7 +19,7 @@
 _MOST_ENTRIES = 512
 
 
-async def replicate(replica: Replica, links: Links) -> None:
+async def replicate(replica: Replica, client: PeerClient) -> None:
     """Keep one task for each peer while this replica leads; for ever."""
     while True:
         if replica.leadership is None:
@@ -27,7 +27,7 @@
             continue
         tasks = Supervisor('peers')
         try:
-            await _keep_peer_tasks(replica, links, replica.leadership, tasks)
+            await _keep_peer_tasks(replica, client, replica.leadership, tasks)
         finally:
             await tasks.stop()
 
@@ -53,7 +53,7 @@
             await replica.take_snapshot()
 
 
-async def answer_append(
+async def handle_append(
     replica: Replica,
     appending: asyncio.Lock,
     request: AppendRequest,
@@ -79,7 +79,7 @@
     return AppendReply(term=request.term, success=True, last_index=matched)
 
 
-async def answer_snapshot(
+async def handle_snapshot(
     replica: Replica,
     appending: asyncio.Lock,
     request: SnapshotRequest,
@@ -93,7 +93,7 @@
         if snapshot.last_index > replica.commit_index:
             await replica.log.flush()
             await replica.log.compact(snapshot)
-            replica.machinery.load(snapshot.state)
+            replica.state_machine.load(snapshot.state)
             replica.commit_index = int(snapshot.last_index)
             replica.applied_index = int(snapshot.last_index)
             logs.info('snapshot taken over', index=replica.commit_index)
@@ -106,7 +106,7 @@
 
 async def _keep_peer_tasks(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     leadership: Leadership,
     tasks: Supervisor,
 ) -> None:
@@ -114,12 +114,12 @@
         peers = {
             one.replica: one
             for one in replica.members()
-            if one.replica != replica.me.replica
+            if one.replica != replica.identity.replica
         }
         for gone in set(tasks.tasks) - set(peers):
             tasks.cancel(gone)
         for name in set(peers) - set(tasks.tasks):
-            tasks.permanent(name, _peer_work(replica, links, leadership, peers[name]))
+            tasks.permanent(name, _peer_work(replica, client, leadership, peers[name]))
         if not peers:
             replica.advance_commit()
         await replica.role_changed.wait(replica.timing.heartbeat)
@@ -127,14 +127,14 @@
 
 def _peer_work(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     leadership: Leadership,
     peer: Member,
 ) -> TaskFunction:
     async def work() -> None:
         while replica.leadership is leadership:
             try:
-                await _one_round(replica, links, peer)
+                await _one_round(replica, client, peer)
             except LinkError:
                 await asyncio.sleep(replica.timing.heartbeat)
             else:
@@ -153,22 +153,22 @@
         await replica.appended.wait(replica.timing.heartbeat)
 
 
-async def _one_round(replica: Replica, links: Links, peer: Member) -> None:
+async def _one_round(replica: Replica, client: PeerClient, peer: Member) -> None:
     term = replica.term
     progress = replica.progress_of(ReplicaId(peer.replica))
     sent_at = replica.now()
     address = Address(peer.address)
     if progress.next_index <= replica.log.snapshot.last_index:
         request = _snapshot_request(replica, peer)
-        reply = await links.install(address, request)
+        reply = await client.install(address, request)
     else:
-        reply = await links.append(address, _append_request(replica, peer))
+        reply = await client.append(address, _append_request(replica, peer))
     if reply.other_replica:
         # Neither contact nor refusal: a box with a new disk must not keep
         # the lease alive in the name of its lost replica.
         raise LinkError(f'{peer.address} is {peer.replica} no more')
     if reply.term > replica.term:
-        replica.follow(int(reply.term), ReplicaId(''))
+        replica.become_follower(int(reply.term), ReplicaId(''))
         await replica.log.flush()
     if replica.term != term or replica.leadership is None:
         return
@@ -188,7 +188,7 @@
 def _append_request(replica: Replica, peer: Member) -> AppendRequest:
     start = replica.progress_of(ReplicaId(peer.replica)).next_index
     return AppendRequest(
-        leader=replica.me.replica,
+        leader=replica.identity.replica,
         term=replica.term,
         previous_index=start - 1,
         previous_term=replica.log.term_at(start - 1),
@@ -200,7 +200,7 @@
 
 def _snapshot_request(replica: Replica, peer: Member) -> SnapshotRequest:
     return SnapshotRequest(
-        leader=replica.me.replica,
+        leader=replica.identity.replica,
         term=replica.term,
         snapshot=replica.log.snapshot,
         target=peer.replica,
@@ -212,12 +212,12 @@
     request: AppendRequest | SnapshotRequest,
 ) -> AppendReply | None:
     """Refuse what is not for this replica or of an old term, else follow."""
-    if request.target != replica.me.replica:
+    if request.target != replica.identity.replica:
         return AppendReply(other_replica=True)
     if request.term < replica.term:
         return AppendReply(term=replica.term, success=False)
-    replica.follow(int(request.term), ReplicaId(request.leader))
-    replica.last_heard = replica.now()
+    replica.become_follower(int(request.term), ReplicaId(request.leader))
+    replica.last_contact_at = replica.now()
     return None
 
 
--- a/packages/control/src/hitchdeck_control/raft/service.py
+++ b/packages/control/src/hitchdeck_control/raft/service.py
@@ -5,10 +5,10 @@
 from grpclib.server import Stream
 
 from hitchdeck_control.errors import MembershipError
-from hitchdeck_control.raft.election import answer_vote
+from hitchdeck_control.raft.election import handle_vote
 from hitchdeck_control.raft.membership import found
 from hitchdeck_control.raft.replica import Replica
-from hitchdeck_control.raft.replication import answer_append, answer_snapshot
+from hitchdeck_control.raft.replication import handle_append, handle_snapshot
 from hitchdeck_core.wire.hitchdeck_grpc import ReplicationBase
 from hitchdeck_core.wire.hitchdeck_pb2 import (
     AppendReply,
@@ -34,13 +34,13 @@
         """Answer a candidate."""
         request = await stream.recv_message()
         assert request is not None
-        await stream.send_message(await answer_vote(self.replica, request))
+        await stream.send_message(await handle_vote(self.replica, request))
 
     async def Append(self, stream: Stream[AppendRequest, AppendReply]) -> None:
         """Take entries or a heartbeat."""
         request = await stream.recv_message()
         assert request is not None
-        reply = await answer_append(self.replica, self.appending, request)
+        reply = await handle_append(self.replica, self.appending, request)
         await stream.send_message(reply)
 
     async def InstallSnapshot(
@@ -50,7 +50,7 @@
         """Take a snapshot."""
         request = await stream.recv_message()
         assert request is not None
-        reply = await answer_snapshot(self.replica, self.appending, request)
+        reply = await handle_snapshot(self.replica, self.appending, request)
         await stream.send_message(reply)
 
     async def Identify(
@@ -61,9 +61,9 @@
         await stream.recv_message()
         replica = self.replica
         reply = IdentifyReply(
-            box=replica.me.box,
-            replica=replica.me.replica,
-            address=replica.me.address,
+            box=replica.identity.box,
+            replica=replica.identity.replica,
+            address=replica.identity.address,
             founded=bool(replica.members()),
             leader=replica.leader_id,
             term=replica.term,
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -56,7 +56,7 @@
 async def found_group_alone(replica: Replica) -> None:
     """Make this replica the only voter of a new group."""
     await membership.found(replica, [_member(_own_hello(replica), voter=True)])
-    logs.info('group founded', replica=replica.me.replica)
+    logs.info('group founded', replica=replica.identity.replica)
 
 
 async def maintain_group(
@@ -102,7 +102,7 @@
 
 
 def _own_hello(replica: Replica) -> Hello:
-    me = replica.me
+    me = replica.identity
     return Hello(box=me.box, hub_address=me.address, replica=me.replica)
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -92,6 +92,6 @@
             incarnation=self.incarnation,
             domain=self.settings.domain,
             hub_address=self.settings.listen,
-            replica=replica.me.replica if replica else '',
+            replica=replica.identity.replica if replica else '',
             may_found=self.settings.may_found and empty,
         )
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -7,9 +7,9 @@
 
 from hitchdeck_control.errors import DiskFailedError
 from hitchdeck_control.raft import replication
-from hitchdeck_control.raft.delays import OwnDelay
-from hitchdeck_control.raft.election import watch_leader
-from hitchdeck_control.raft.links import Links
+from hitchdeck_control.raft.delays import SchedulingDelay
+from hitchdeck_control.raft.election import run_elections
+from hitchdeck_control.raft.links import PeerClient
 from hitchdeck_control.raft.replica import Replica
 from hitchdeck_control.raft.service import ReplicationService
 from hitchdeck_core import logs
@@ -71,7 +71,7 @@
     placing: PlacingService
     replica: Replica | None
     supervisor: Supervisor
-    links: Links
+    links: PeerClient
     servers: list[Server] = field(default_factory=list)
     started: float = field(default_factory=boot_seconds)
     last_counts: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -194,10 +194,12 @@
     return hub
 
 
-def _links(settings: HubSettings, replica: Replica | None) -> Links:
+def _links(settings: HubSettings, replica: Replica | None) -> PeerClient:
     timeout = settings.election_timeout
-    own_delay = replica.own_delay if replica else OwnDelay(boot_seconds, timeout)
-    return Links(settings.fleet_token, timeout, own_delay)
+    scheduling_delay = (
+        replica.scheduling_delay if replica else SchedulingDelay(boot_seconds, timeout)
+    )
+    return PeerClient(settings.fleet_token, timeout, scheduling_delay)
 
 
 def _new_known_hubs(settings: HubSettings) -> KnownHubs:
@@ -257,7 +259,7 @@
 def _start_replica(hub: Hub, replica: Replica, peer: HubPeer) -> None:
     supervisor = hub.supervisor
     min_voters = hub.settings.voters_needed
-    supervisor.permanent('election', lambda: watch_leader(replica, hub.links))
+    supervisor.permanent('election', lambda: run_elections(replica, hub.links))
     supervisor.permanent(
         'replication',
         lambda: replication.replicate(replica, hub.links),
--- a/packages/edge/src/hitchdeck_edge/hub/replica.py
+++ b/packages/edge/src/hitchdeck_edge/hub/replica.py
@@ -2,7 +2,12 @@
 
 from pathlib import Path
 
-from hitchdeck_control.raft.replica import Machinery, Replica, Self, Timing
+from hitchdeck_control.raft.replica import (
+    Replica,
+    ReplicaIdentity,
+    StateMachineCallbacks,
+    Timing,
+)
 from hitchdeck_control.storage.identity import open_identity
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core.clock import boot_seconds
@@ -52,9 +57,9 @@
 
     machine = GroupStateMachine(store_document, store_evacuations)
     return Replica(
-        Self(identity, box, Address(settings.listen)),
+        ReplicaIdentity(identity, box, Address(settings.listen)),
         DurableLog(folder),
-        Machinery(machine.apply, machine.dump, machine.load),
+        StateMachineCallbacks(machine.apply, machine.dump, machine.load),
         Timing(settings.heartbeat, settings.election_timeout, SNAPSHOT_EVERY),
         boot_seconds,
     )
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -9,9 +9,14 @@
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
 from hitchdeck_control.machine.machine import StateMachine, first_command
 from hitchdeck_control.raft import membership, replication
-from hitchdeck_control.raft.election import answer_vote, watch_leader
-from hitchdeck_control.raft.links import Links
-from hitchdeck_control.raft.replica import Machinery, Replica, Self, Timing
+from hitchdeck_control.raft.election import handle_vote, run_elections
+from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.replica import (
+    Replica,
+    ReplicaIdentity,
+    StateMachineCallbacks,
+    Timing,
+)
 from hitchdeck_control.storage.identity import open_identity
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core.clock import boot_seconds
@@ -45,12 +50,12 @@
 
     async def vote(self, address: Address, request: VoteRequest) -> VoteReply:
         """Ask for a vote."""
-        return await answer_vote(self._target(address).replica, request)
+        return await handle_vote(self._target(address).replica, request)
 
     async def append(self, address: Address, request: AppendRequest) -> AppendReply:
         """Send entries."""
         node = self._target(address)
-        reply = await replication.answer_append(node.replica, node.lock, request)
+        reply = await replication.handle_append(node.replica, node.lock, request)
         self._target(address)
         return reply
 
@@ -61,7 +66,7 @@
     ) -> AppendReply:
         """Send a snapshot."""
         node = self._target(address)
-        return await replication.answer_snapshot(node.replica, node.lock, request)
+        return await replication.handle_snapshot(node.replica, node.lock, request)
 
     def _target(self, address: Address) -> 'Node':
         node = self.group.nodes.get(address)
@@ -96,16 +101,18 @@
         box = BoxName(name)
         machine = StateMachine(1000)
         replica = Replica(
-            Self(open_identity(path, box), box, Address(name)),
+            ReplicaIdentity(open_identity(path, box), box, Address(name)),
             DurableLog(path),
-            Machinery(machine.apply, machine.dump, machine.load, first_command()),
+            StateMachineCallbacks(
+                machine.apply, machine.dump, machine.load, first_command()
+            ),
             TIMING,
             self.now,
         )
         node = Node(name, replica, machine, Supervisor(name))
-        links = cast(Links, FakeLinks(self, name))
+        links = cast(PeerClient, FakeLinks(self, name))
         keep = node.tasks.permanent
-        keep('election', lambda: watch_leader(replica, links))
+        keep('election', lambda: run_elections(replica, links))
         keep('replication', lambda: replication.replicate(replica, links))
         keep('log', lambda: replication.write_log(replica))
         keep('apply', lambda: replication.apply_log(replica))
@@ -126,7 +133,7 @@
 
     def member(self, name: str, *, voter: bool = False) -> Member:
         """Return a running replica as a member."""
-        me = self.nodes[name].replica.me
+        me = self.nodes[name].replica.identity
         return Member(
             replica=me.replica,
             box=me.box,
--- a/tests/cover/test_agreement.py
+++ b/tests/cover/test_agreement.py
@@ -13,7 +13,7 @@
     OutcomeUnknownError,
 )
 from hitchdeck_control.raft import membership
-from hitchdeck_control.raft.election import answer_vote
+from hitchdeck_control.raft.election import handle_vote
 from hitchdeck_core.wire.hitchdeck_pb2 import VoteRequest
 from tests.common.group import TIMING, Group, Node, until
 
@@ -94,14 +94,14 @@
     await group.put('x')
     leader = await group.leader()
     victim = next(name for name in group.nodes if name != leader.name)
-    old_identity = group.nodes[victim].replica.me.replica
+    old_identity = group.nodes[victim].replica.identity.replica
     await group.stop(victim)
     fresh = group.start(victim, folder='new-disk')
-    assert fresh.replica.me.replica != old_identity
-    fresh.replica.last_heard = float('-inf')
-    for target in (old_identity, fresh.replica.me.replica):
+    assert fresh.replica.identity.replica != old_identity
+    fresh.replica.last_contact_at = float('-inf')
+    for target in (old_identity, fresh.replica.identity.replica):
         request = VoteRequest(candidate='z', term=99, last_index=99, target=target)
-        assert not (await answer_vote(fresh.replica, request)).granted
+        assert not (await handle_vote(fresh.replica, request)).granted
 
 
 async def test_second_loss_right_after_a_repair_loses_nothing(group: Group) -> None:
@@ -176,13 +176,13 @@
     await asyncio.sleep(2 * TIMING.election_timeout)
     assert not newcomer.replica.is_voter()
     request = VoteRequest(
-        candidate=leader.replica.me.replica,
+        candidate=leader.replica.identity.replica,
         term=newcomer.replica.term + 1,
         last_index=newcomer.replica.log.last_index,
         last_term=newcomer.replica.log.last_term,
-        target=newcomer.replica.me.replica,
+        target=newcomer.replica.identity.replica,
     )
-    assert (await answer_vote(newcomer.replica, request)).granted
+    assert (await handle_vote(newcomer.replica, request)).granted
 
 
 async def test_voter_that_hears_a_leader_elects_nobody(group: Group) -> None:
@@ -194,7 +194,7 @@
             term=leader.replica.term + 5,
             last_index=999,
             last_term=999,
-            target=node.replica.me.replica,
+            target=node.replica.identity.replica,
         )
-        assert not (await answer_vote(node.replica, request)).granted
+        assert not (await handle_vote(node.replica, request)).granted
         assert node.replica.term == leader.replica.term
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -68,7 +68,7 @@
 def live_hubs_vote(site: Site) -> bool:
     """Tell whether the voters are the hubs that run, under their present ids."""
     replicas = [hub.replica for hub in site.hubs if hub.replica is not None]
-    present = {replica.me.replica for replica in replicas}
+    present = {replica.identity.replica for replica in replicas}
     return any(
         replica.has_lease() and {one.replica for one in replica.voters()} == present
         for replica in replicas
--- a/tests/edge/test_slow_loops.py
+++ b/tests/edge/test_slow_loops.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hitchdeck_control.raft.delays import TURNS, OwnDelay
+from hitchdeck_control.raft.delays import TURNS_PER_EXCHANGE, SchedulingDelay
 from hitchdeck_core.ids import Address
 from hitchdeck_edge.dispatch import exchange
 from standins.platform_site import running_site
@@ -53,7 +53,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = FakeClock()
-    delay = OwnDelay(clock, most=0.6)
+    delay = SchedulingDelay(clock, max_delay=0.6)
 
     async def sleep_late(seconds: float) -> None:
         clock.seconds += seconds + late
@@ -61,7 +61,7 @@
     monkeypatch.setattr(asyncio, 'sleep', sleep_late)
     late = 60
     await delay.sleep(1)
-    assert delay.allowance() == pytest.approx(TURNS * 0.6)
+    assert delay.allowance() == pytest.approx(TURNS_PER_EXCHANGE * 0.6)
     late = 0
     for _ in range(20):
         await delay.sleep(1)
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -36,9 +36,9 @@
     Mechanism(
         'pre-vote',
         f'{_CONTROL}/raft/election.py',
-        'if not await _wins_round(replica, links, replica.term + 1, pre_vote=True):\n'
+        'if not await _wins_vote(replica, client, replica.term + 1, pre_vote=True):\n'
         '        return\n',
-        'await _wins_round(replica, links, replica.term + 1, pre_vote=True)\n',
+        'await _wins_vote(replica, client, replica.term + 1, pre_vote=True)\n',
         'test_return_after_a_long_cut_does_not_depose',
     ),
     Mechanism(
