--- a/packages/control/src/hitchdeck_control/raft/membership.py
+++ b/packages/control/src/hitchdeck_control/raft/membership.py
@@ -9,12 +9,12 @@
 from hitchdeck_core.wire.hitchdeck_pb2 import Entry, Member
 
 _FIRST_TERM = 1
-_CATCH_UP_POLL = 0.05
+_CATCH_UP_POLL_SECONDS = 0.05
 _CATCH_UP_ROUNDS = 2400
-_CATCH_UP_GAP = 2
+_MAX_CATCH_UP_GAP = 2
 
 
-async def found(replica: Replica, members: list[Member]) -> None:
+async def found_group(replica: Replica, members: list[Member]) -> None:
     """Make this replica part of a new group.
 
     Every founder writes the same first entry, so founding may be repeated
@@ -33,7 +33,7 @@
         )
     known = replica.members()
     if known:
-        if replica.log.snapshot.last_index == 0 and _same(
+        if replica.log.snapshot.last_index == 0 and _same_members(
             list(replica.log.entries[0].members),
             members,
         ):
@@ -44,7 +44,7 @@
     await replica.log.flush()
 
 
-async def replace(replica: Replica, newcomer: Member) -> None:
+async def replace_replica(replica: Replica, newcomer: Member) -> None:
     """Put a replica with a new disk in the place of its box's old one.
 
     Steps, each committed before the next: the newcomer joins as a learner;
@@ -53,8 +53,8 @@
     two and then two of three; the other order needs three of four while
     one of the four is dead.  Repeating a replacement resumes it.
     """
-    await admit(replica, newcomer, promote=False)
-    await _change(
+    await add_replica(replica, newcomer, promote=False)
+    await _commit_membership(
         replica,
         [
             one
@@ -66,7 +66,7 @@
     logs.info('replica replaced', newcomer=newcomer.replica)
 
 
-async def admit(replica: Replica, newcomer: Member, *, promote: bool) -> None:
+async def add_replica(replica: Replica, newcomer: Member, *, promote: bool) -> None:
     """Take a replica in as a learner; let it vote once it has caught up.
 
     Raises
@@ -74,20 +74,20 @@
     MembershipError
         It does not catch up, or another change is under way.
     """
-    await _join_as_learner(replica, newcomer)
-    await _caught_up(replica, ReplicaId(newcomer.replica))
+    await _add_learner(replica, newcomer)
+    await _wait_until_caught_up(replica, ReplicaId(newcomer.replica))
     if promote:
         await _promote(replica, newcomer)
         logs.info('replica votes', newcomer=newcomer.replica)
 
 
-async def dismiss(replica: Replica, member: Member) -> None:
+async def remove_replica(replica: Replica, member: Member) -> None:
     """Take a member out of the group."""
-    await _change(replica, _others(replica, member))
+    await _commit_membership(replica, _others(replica, member))
     logs.info('replica dismissed', replica=member.replica)
 
 
-def silent_voters(replica: Replica, seconds: float) -> list[Member]:
+def unresponsive_voters(replica: Replica, seconds: float) -> list[Member]:
     """Return the voters that the leader has not heard for so long."""
     leadership = replica.leadership
     if leadership is None:
@@ -105,31 +105,34 @@
 
 async def _promote(replica: Replica, newcomer: Member) -> None:
     voter = _copy(newcomer, voter=True)
-    await _change(replica, [*_others(replica, newcomer), voter])
+    await _commit_membership(replica, [*_others(replica, newcomer), voter])
 
 
-async def _join_as_learner(replica: Replica, newcomer: Member) -> None:
+async def _add_learner(replica: Replica, newcomer: Member) -> None:
     if any(one.replica == newcomer.replica for one in replica.members()):
         return
     # An earlier newcomer of the same box, lost before it could vote, goes.
     kept = [one for one in replica.members() if one.voter or one.box != newcomer.box]
-    await _change(replica, [*kept, _copy(newcomer, voter=False)])
+    await _commit_membership(replica, [*kept, _copy(newcomer, voter=False)])
 
 
-async def _caught_up(replica: Replica, newcomer: ReplicaId) -> None:
+async def _wait_until_caught_up(replica: Replica, newcomer: ReplicaId) -> None:
     for _ in range(_CATCH_UP_ROUNDS):
         replica.check_leads()
-        if replica.progress_of(newcomer).match + _CATCH_UP_GAP > replica.commit_index:
+        if (
+            replica.progress_of(newcomer).match + _MAX_CATCH_UP_GAP
+            > replica.commit_index
+        ):
             return
-        await asyncio.sleep(_CATCH_UP_POLL)
+        await asyncio.sleep(_CATCH_UP_POLL_SECONDS)
     raise MembershipError(f'{newcomer} does not catch up')
 
 
-async def _change(replica: Replica, members: list[Member]) -> None:
-    if _same(members, replica.members()):
+async def _commit_membership(replica: Replica, members: list[Member]) -> None:
+    if _same_members(members, replica.members()):
         return
     replica.check_leads()
-    _check_settled(replica)
+    _check_no_pending_change(replica)
     entry = Entry(
         term=replica.term,
         index=replica.log.last_index + 1,
@@ -138,7 +141,7 @@
     await replica.propose_entry(entry)
 
 
-def _check_settled(replica: Replica) -> None:
+def _check_no_pending_change(replica: Replica) -> None:
     base = int(replica.log.snapshot.last_index)
     open_entries = replica.log.entries[max(0, replica.commit_index - base) :]
     if any(entry.members for entry in open_entries):
@@ -156,7 +159,7 @@
     return copied
 
 
-def _same(left: list[Member], right: list[Member]) -> bool:
+def _same_members(left: list[Member], right: list[Member]) -> bool:
     def ordered(members: list[Member]) -> list[bytes]:
         return sorted(one.SerializeToString() for one in members)
 
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -16,7 +16,7 @@
     SnapshotRequest,
 )
 
-_MOST_ENTRIES = 512
+_MAX_ENTRIES_PER_APPEND = 512
 
 
 async def replicate(replica: Replica, client: PeerClient) -> None:
@@ -27,7 +27,7 @@
             continue
         tasks = Supervisor('peers')
         try:
-            await _keep_peer_tasks(replica, client, replica.leadership, tasks)
+            await _supervise_peers(replica, client, replica.leadership, tasks)
         finally:
             await tasks.stop()
 
@@ -55,17 +55,17 @@
 
 async def handle_append(
     replica: Replica,
-    appending: asyncio.Lock,
+    append_lock: asyncio.Lock,
     request: AppendRequest,
 ) -> AppendReply:
     """Take entries from the leader; the answer follows the sync."""
-    refusal = _refusal_or_hear(replica, request)
+    refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
-    async with appending:
+    async with append_lock:
         if request.term < replica.term:
             return AppendReply(term=replica.term, success=False)
-        matched = _take_entries(replica, request)
+        matched = _append_entries(replica, request)
         await replica.log.flush()
     if matched is None:
         return AppendReply(
@@ -81,15 +81,15 @@
 
 async def handle_snapshot(
     replica: Replica,
-    appending: asyncio.Lock,
+    append_lock: asyncio.Lock,
     request: SnapshotRequest,
 ) -> AppendReply:
     """Take a snapshot from the leader in place of entries it has dropped."""
-    refusal = _refusal_or_hear(replica, request)
+    refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
     snapshot = request.snapshot
-    async with appending:
+    async with append_lock:
         if snapshot.last_index > replica.commit_index:
             await replica.log.flush()
             await replica.log.compact(snapshot)
@@ -104,7 +104,7 @@
     )
 
 
-async def _keep_peer_tasks(
+async def _supervise_peers(
     replica: Replica,
     client: PeerClient,
     leadership: Leadership,
@@ -119,13 +119,13 @@
         for gone in set(tasks.tasks) - set(peers):
             tasks.cancel(gone)
         for name in set(peers) - set(tasks.tasks):
-            tasks.permanent(name, _peer_work(replica, client, leadership, peers[name]))
+            tasks.permanent(name, _peer_task(replica, client, leadership, peers[name]))
         if not peers:
             replica.advance_commit()
         await replica.role_changed.wait(replica.timing.heartbeat)
 
 
-def _peer_work(
+def _peer_task(
     replica: Replica,
     client: PeerClient,
     leadership: Leadership,
@@ -134,7 +134,7 @@
     async def work() -> None:
         while replica.leadership is leadership:
             try:
-                await _one_round(replica, client, peer)
+                await _replicate_once(replica, client, peer)
             except LinkError:
                 await asyncio.sleep(replica.timing.heartbeat)
             else:
@@ -153,7 +153,7 @@
         await replica.appended.wait(replica.timing.heartbeat)
 
 
-async def _one_round(replica: Replica, client: PeerClient, peer: Member) -> None:
+async def _replicate_once(replica: Replica, client: PeerClient, peer: Member) -> None:
     term = replica.term
     progress = replica.progress_of(ReplicaId(peer.replica))
     sent_at = replica.now()
@@ -193,7 +193,7 @@
         previous_index=start - 1,
         previous_term=replica.log.term_at(start - 1),
         commit=replica.commit_index,
-        entries=replica.log.slice(start, _MOST_ENTRIES),
+        entries=replica.log.slice(start, _MAX_ENTRIES_PER_APPEND),
         target=peer.replica,
     )
 
@@ -207,7 +207,7 @@
     )
 
 
-def _refusal_or_hear(
+def _refuse_or_follow(
     replica: Replica,
     request: AppendRequest | SnapshotRequest,
 ) -> AppendReply | None:
@@ -221,7 +221,7 @@
     return None
 
 
-def _take_entries(replica: Replica, request: AppendRequest) -> int | None:
+def _append_entries(replica: Replica, request: AppendRequest) -> int | None:
     """Append what is new; the last matching index, or ``None`` for a gap."""
     previous = int(request.previous_index)
     base = int(replica.log.snapshot.last_index)
--- a/packages/control/src/hitchdeck_control/raft/service.py
+++ b/packages/control/src/hitchdeck_control/raft/service.py
@@ -6,7 +6,7 @@
 
 from hitchdeck_control.errors import MembershipError
 from hitchdeck_control.raft.election import handle_vote
-from hitchdeck_control.raft.membership import found
+from hitchdeck_control.raft.membership import found_group
 from hitchdeck_control.raft.replica import Replica
 from hitchdeck_control.raft.replication import handle_append, handle_snapshot
 from hitchdeck_core.wire.hitchdeck_grpc import ReplicationBase
@@ -28,7 +28,7 @@
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
-        self.appending = asyncio.Lock()
+        self.append_lock = asyncio.Lock()
 
     async def Vote(self, stream: Stream[VoteRequest, VoteReply]) -> None:
         """Answer a candidate."""
@@ -40,7 +40,7 @@
         """Take entries or a heartbeat."""
         request = await stream.recv_message()
         assert request is not None
-        reply = await handle_append(self.replica, self.appending, request)
+        reply = await handle_append(self.replica, self.append_lock, request)
         await stream.send_message(reply)
 
     async def InstallSnapshot(
@@ -50,7 +50,7 @@
         """Take a snapshot."""
         request = await stream.recv_message()
         assert request is not None
-        reply = await handle_snapshot(self.replica, self.appending, request)
+        reply = await handle_snapshot(self.replica, self.append_lock, request)
         await stream.send_message(reply)
 
     async def Identify(
@@ -78,7 +78,7 @@
         request = await stream.recv_message()
         assert request is not None
         try:
-            await found(self.replica, list(request.members))
+            await found_group(self.replica, list(request.members))
         except MembershipError as error:
             await stream.send_message(FoundReply(error=str(error)))
             return
--- a/packages/control/src/hitchdeck_control/service.py
+++ b/packages/control/src/hitchdeck_control/service.py
@@ -13,7 +13,7 @@
 )
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.watch import serve_router
-from hitchdeck_control.raft.membership import replace
+from hitchdeck_control.raft.membership import replace_replica
 from hitchdeck_core.commands import Command, Put, command_codec, outcome_codec
 from hitchdeck_core.errors import ResourceError
 from hitchdeck_core.outcomes import Outcome, Refused
@@ -80,7 +80,7 @@
         assert request is not None
         try:
             self.leader.check_leads()
-            await replace(self.leader.replica, request.newcomer)
+            await replace_replica(self.leader.replica, request.newcomer)
         except NotLeaderError:
             await stream.send_message(ReplaceReply(leads=False))
         except (MembershipError, OutcomeUnknownError) as error:
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -55,7 +55,7 @@
 
 async def found_group_alone(replica: Replica) -> None:
     """Make this replica the only voter of a new group."""
-    await membership.found(replica, [_member(_own_hello(replica), voter=True)])
+    await membership.found_group(replica, [_member(_own_hello(replica), voter=True)])
     logs.info('group founded', replica=replica.identity.replica)
 
 
@@ -84,9 +84,9 @@
     for connected_box in connected_boxes.hubs():
         if connected_box.hello.replica:
             await _admit(replica, connected_box.hello)
-    unresponsive = membership.silent_voters(replica, UNRESPONSIVE_VOTER_SECONDS)
+    unresponsive = membership.unresponsive_voters(replica, UNRESPONSIVE_VOTER_SECONDS)
     if unresponsive and len(replica.voters()) - len(unresponsive) >= min_voters:
-        await membership.dismiss(replica, unresponsive[0])
+        await membership.remove_replica(replica, unresponsive[0])
 
 
 async def _admit(replica: Replica, hello: Hello) -> None:
@@ -95,10 +95,10 @@
         return
     newcomer = _member(hello, voter=False)
     if any(one.box == newcomer.box for one in replica.voters()):
-        await membership.replace(replica, newcomer)
+        await membership.replace_replica(replica, newcomer)
         return
     promote = len(replica.voters()) < MAX_VOTERS
-    await membership.admit(replica, newcomer, promote=promote)
+    await membership.add_replica(replica, newcomer, promote=promote)
 
 
 def _own_hello(replica: Replica) -> Hello:
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -129,7 +129,7 @@
         """Make all running replicas a group."""
         members = [self.member(name, voter=True) for name in self.nodes]
         for node in self.nodes.values():
-            await membership.found(node.replica, members)
+            await membership.found_group(node.replica, members)
 
     def member(self, name: str, *, voter: bool = False) -> Member:
         """Return a running replica as a member."""
--- a/tests/cover/test_agreement.py
+++ b/tests/cover/test_agreement.py
@@ -111,7 +111,7 @@
     victim, other = (name for name in group.nodes if name != leader.name)
     await group.stop(victim)
     group.start(victim, folder='new-disk')
-    await membership.replace(leader.replica, group.member(victim))
+    await membership.replace_replica(leader.replica, group.member(victim))
     await group.stop(other)
     await group.put('after')
     await group.stop(leader.name)
@@ -126,7 +126,7 @@
     while True:
         leader = await group.leader()
         try:
-            await membership.replace(leader.replica, group.member(victim))
+            await membership.replace_replica(leader.replica, group.member(victim))
         except (NotLeaderError, OutcomeUnknownError, MembershipError):
             await asyncio.sleep(TIMING.heartbeat)
         else:
@@ -148,7 +148,7 @@
     await group.put('x')
     members = [group.member(name, voter=True) for name in ('a', 'b')]
     with pytest.raises(MembershipError):
-        await membership.found(group.nodes['a'].replica, members)
+        await membership.found_group(group.nodes['a'].replica, members)
 
 
 async def test_lagging_replica_catches_up_by_snapshot(group: Group) -> None:
@@ -171,7 +171,7 @@
     """
     leader = await group.leader()
     newcomer = group.start('d')
-    await membership.admit(leader.replica, group.member('d'), promote=False)
+    await membership.add_replica(leader.replica, group.member('d'), promote=False)
     group.cut.add('d')
     await asyncio.sleep(2 * TIMING.election_timeout)
     assert not newcomer.replica.is_voter()
