--- a/packages/control/src/hitchdeck_control/storage/identity.py
+++ b/packages/control/src/hitchdeck_control/storage/identity.py
@@ -20,12 +20,12 @@
     try:
         folder.mkdir(parents=True, exist_ok=True)
         sync_folder(folder.parent)
-        return _read_or_make(folder, box)
+        return _read_or_create(folder, box)
     except OSError as error:
         raise StorageError(f'data folder {folder}: {error}') from error
 
 
-def _read_or_make(folder: Path, box: BoxName) -> ReplicaId:
+def _read_or_create(folder: Path, box: BoxName) -> ReplicaId:
     path = folder / _IDENTITY_FILE
     if path.exists():
         replica = ReplicaId(path.read_text().strip())
--- a/packages/control/src/hitchdeck_control/storage/log.py
+++ b/packages/control/src/hitchdeck_control/storage/log.py
@@ -52,11 +52,11 @@
         self.stream: FileIO = open_segment(folder, self.segment)
         self.pending: list[LogRecord] = []
         # Asked for at every beat of every router: not looked up each time.
-        self.known_members: list[Member] | None = None
-        self.failed: Exception | None = None
-        self.refused = False
-        self.writing = asyncio.Lock()
-        self.thread = ThreadPoolExecutor(1, 'log-writer')
+        self.cached_members: list[Member] | None = None
+        self.disk_error: Exception | None = None
+        self.disk_full = False
+        self.write_lock = asyncio.Lock()
+        self.executor = ThreadPoolExecutor(1, 'log-writer')
 
     @property
     def last_index(self) -> int:
@@ -85,20 +85,20 @@
 
     def members(self) -> list[Member]:
         """Return the membership in effect: the latest one in the log."""
-        if self.known_members is None:
-            self.known_members = self._find_members()
-        return self.known_members
+        if self.cached_members is None:
+            self.cached_members = self._find_members()
+        return self.cached_members
 
     def append(self, entries: list[Entry]) -> None:
         """Queue entries; those at known indexes replace the rest from there."""
         if not entries:
             return
-        keep = int(entries[0].index) - int(self.snapshot.last_index) - 1
-        assert 0 <= keep <= len(self.entries), 'no gaps in the log'
-        replaces = keep < len(self.entries)
+        kept_count = int(entries[0].index) - int(self.snapshot.last_index) - 1
+        assert 0 <= kept_count <= len(self.entries), 'no gaps in the log'
+        replaces = kept_count < len(self.entries)
         if replaces or any(entry.members for entry in entries):
-            self.known_members = None
-        self.entries[keep:] = entries
+            self.cached_members = None
+        self.entries[kept_count:] = entries
         self.synced_index = min(self.synced_index, int(entries[0].index) - 1)
         self._queue(entries)
 
@@ -127,31 +127,31 @@
 
     def close(self) -> None:
         """Release the file and the thread."""
-        self.thread.shutdown()
+        self.executor.shutdown()
         self.stream.close()
 
     async def _flush(self) -> None:
-        async with self.writing:
-            if self.refused:
-                await self._write_anew()
+        async with self.write_lock:
+            if self.disk_full:
+                await self._rewrite_log()
             elif self.pending:
                 await self._write_pending()
 
-    async def _write_anew(self) -> None:
+    async def _rewrite_log(self) -> None:
         """Write everything into a new segment, after a write found no space.
 
         What the old one's tail holds is not known; memory is.
         """
         self.pending = []
         await self._start_segment()
-        self.refused = False
+        self.disk_full = False
         logs.info('log written anew', folder=str(self.folder), segment=self.segment)
 
     async def _compact(self, snapshot: Snapshot) -> None:
-        async with self.writing:
+        async with self.write_lock:
             if snapshot.last_index <= self.snapshot.last_index:
                 return
-            await self._in_thread(
+            await self._run_in_executor(
                 replace_file,
                 self.folder / SNAPSHOT_FILE,
                 frame(snapshot.SerializeToString()),
@@ -165,7 +165,7 @@
         kept = self.slice(index + 1, len(self.entries)) if known else []
         self.snapshot = snapshot
         self.entries = kept
-        self.known_members = None
+        self.cached_members = None
         # What was queued is either in the snapshot or in the new segment.
         self.pending = []
 
@@ -187,7 +187,7 @@
             vote=records[-1].vote,
             entries=_latest_entries(records),
         )
-        await self._in_thread(self._write, batch.SerializeToString())
+        await self._run_in_executor(self._write, batch.SerializeToString())
         self._mark_synced(last)
 
     def _mark_synced(self, last: int) -> None:
@@ -204,29 +204,29 @@
             left = left[self.stream.write(left) :]
         os.fdatasync(self.stream.fileno())
 
-    async def _in_thread(
+    async def _run_in_executor(
         self,
         work: Callable[..., None],
         *arguments: object,
     ) -> None:
-        if self.failed is not None:
-            raise DiskFailedError(f'disk failed earlier: {self.failed}')
+        if self.disk_error is not None:
+            raise DiskFailedError(f'disk failed earlier: {self.disk_error}')
         loop = asyncio.get_running_loop()
         try:
-            await loop.run_in_executor(self.thread, work, *arguments)
+            await loop.run_in_executor(self.executor, work, *arguments)
         except OSError as error:
             if error.errno == errno.ENOSPC:
-                self.refused = True
+                self.disk_full = True
                 raise StorageError(f'{self.folder}: {error}') from error
             # After a failed sync the kernel may have dropped the pages: a
             # second sync that succeeds proves nothing.
-            self.failed = error
+            self.disk_error = error
             raise DiskFailedError(f'{self.folder}: {error}') from error
 
     async def _start_segment(self) -> None:
         record = LogRecord(term=self.term, vote=self.vote, entries=self.entries)
         last = self.last_index
-        await self._in_thread(self._rotate, record.SerializeToString())
+        await self._run_in_executor(self._rotate, record.SerializeToString())
         self._mark_synced(last)
 
     def _rotate(self, payload: bytes) -> None:
--- a/packages/control/src/hitchdeck_control/storage/records.py
+++ b/packages/control/src/hitchdeck_control/storage/records.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 _HEADER = struct.Struct('<II')
-_LARGEST = 1024 * 1024 * 1024
+_MAX_RECORD_BYTES = 1024 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     for offset in range(start, len(content) - _HEADER.size):
         length, checksum = _HEADER.unpack_from(content, offset)
         body = offset + _HEADER.size
-        if not 0 < length <= min(_LARGEST, len(content) - body):
+        if not 0 < length <= min(_MAX_RECORD_BYTES, len(content) - body):
             continue
         if zlib.crc32(content[body : body + length]) == checksum:
             return True
--- a/packages/control/src/hitchdeck_control/storage/recovery.py
+++ b/packages/control/src/hitchdeck_control/storage/recovery.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class RecoveredLog:
     """What a data folder holds."""
 
     snapshot: Snapshot = field(default_factory=Snapshot)
@@ -50,7 +50,7 @@
     return stream
 
 
-def recover(folder: Path) -> Recovered:
+def recover(folder: Path) -> RecoveredLog:
     """Read a data folder.
 
     Raises
@@ -60,7 +60,7 @@
     StorageError
         The folder can't be read.
     """
-    recovered = Recovered()
+    recovered = RecoveredLog()
     try:
         _read_snapshot(folder / SNAPSHOT_FILE, recovered)
         for path in segments_of(folder):
@@ -70,7 +70,7 @@
     return recovered
 
 
-def _read_snapshot(path: Path, recovered: Recovered) -> None:
+def _read_snapshot(path: Path, recovered: RecoveredLog) -> None:
     if not path.exists():
         return
     payload = next(unframe(path.read_bytes()), Damage(0, torn_tail=False))
@@ -79,12 +79,12 @@
     recovered.snapshot = Snapshot.FromString(payload)
 
 
-def _read_segment(path: Path, recovered: Recovered) -> None:
+def _read_segment(path: Path, recovered: RecoveredLog) -> None:
     recovered.segment = int(path.stem.partition('-')[2])
     offset = 0
     for payload in unframe(path.read_bytes()):
         if isinstance(payload, Damage):
-            _cut_or_refuse(path, payload)
+            _truncate_or_raise(path, payload)
             return
         record = LogRecord.FromString(payload)
         recovered.term = int(record.term)
@@ -93,19 +93,19 @@
         offset += len(frame(payload))
 
 
-def _replay(origin: str, record: LogRecord, recovered: Recovered) -> None:
+def _replay(origin: str, record: LogRecord, recovered: RecoveredLog) -> None:
     base = int(recovered.snapshot.last_index)
-    fresh = [entry for entry in record.entries if entry.index > base]
-    if not fresh:
+    new_entries = [entry for entry in record.entries if entry.index > base]
+    if not new_entries:
         return
-    keep = int(fresh[0].index) - base - 1
-    if keep > len(recovered.entries):
+    kept_count = int(new_entries[0].index) - base - 1
+    if kept_count > len(recovered.entries):
         last = base + len(recovered.entries)
-        raise DamagedLogError(f'{origin}: entry {fresh[0].index} follows {last}')
-    recovered.entries[keep:] = fresh
+        raise DamagedLogError(f'{origin}: entry {new_entries[0].index} follows {last}')
+    recovered.entries[kept_count:] = new_entries
 
 
-def _cut_or_refuse(path: Path, damage: Damage) -> None:
+def _truncate_or_raise(path: Path, damage: Damage) -> None:
     if not damage.torn_tail:
         raise DamagedLogError(
             f'{path}: damaged at byte {damage.offset}, records follow; '
