--- a/packages/edge/src/hitchdeck_edge/dispatch/budget.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/budget.py
@@ -30,7 +30,7 @@
         self.requests: dict[PoolName, deque[float]] = defaultdict(deque)
         self.retries: dict[PoolName, deque[float]] = defaultdict(deque)
 
-    def part_of_fleet(self) -> float:
+    def fleet_fraction(self) -> float:
         """Return which part of the fleet's boxes this one is."""
         return 1 / max(self.boxes, MIN_BOXES)
 
@@ -45,7 +45,7 @@
         horizon = self.now() - self.window
         requests = _count_recent(self.requests[pool], horizon)
         retries = _count_recent(self.retries[pool], horizon)
-        allowed = self.share * requests + self.extra * self.part_of_fleet()
+        allowed = self.share * requests + self.extra * self.fleet_fraction()
         if retries + 1 > allowed * SAFETY_FACTOR:
             return False
         self.retries[pool].append(self.now())
