--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -12,10 +12,10 @@
 from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.relay import StreamRelay
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.model.passage import RequestContext
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.caller import CallerConnection
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
-from hitchdeck_core.quarantine.endings import CrashDetector
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import (
     ActiveRequest,
@@ -24,13 +24,13 @@
     UpstreamNotAcceptingError,
 )
 from hitchdeck_edge.links.placing import OVERLOADED_UTILIZATION
+from hitchdeck_edge.model.adapter import Forwarding, PlatformAdapter
 from hitchdeck_edge.model.calls import ResponseMarks
-from hitchdeck_edge.model.dialect import Forwarding, PlatformAdapter
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.scheduling.chooser import Chooser
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 
 MAX_STALE_RESPONSES = 2
 """Answers to earlier requests that are skipped on one connection."""
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.links.intake import apply_hub_frame
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import FleetState
+from hitchdeck_edge.state.fleet_state import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_edge.state.tallies import Tally, tally_of
 
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -11,11 +11,11 @@
 from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.model.document import Route, common_areas
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import CallerConnection
 from hitchdeck_edge.serving.front import IncomingRequest
 from hitchdeck_edge.serving.gauges import EntryMetrics
@@ -23,7 +23,7 @@
 from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
 from hitchdeck_edge.serving.stopping import GracefulStop
-from hitchdeck_edge.state.knowledge import FleetState
+from hitchdeck_edge.state.fleet_state import FleetState
 
 CALLER_DISCONNECTED = 'caller gone'
 """Outcome of a request whose caller closed its connection first."""
--- a/packages/edge/src/hitchdeck_edge/serving/gauges.py
+++ b/packages/edge/src/hitchdeck_edge/serving/gauges.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.model.passage import THIS_BOX, RequestContext
+from hitchdeck_edge.model.request_context import THIS_BOX, RequestContext
 
 MS_PER_SECOND = 1000.0
 MAX_HISTOGRAMS = 60
