--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.dispatch.answers import end_to_end_headers
 from hitchdeck_edge.dispatch.budget import SAFETY_FACTOR, RetryBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.links.hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
+from hitchdeck_edge.links.known_hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
 from hitchdeck_edge.serving.gauges import (
