--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -7,9 +7,9 @@
 from hitchdeck_core.busyness import loop_lag, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
-from hitchdeck_edge.dispatch.answers import send_refusal
 from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
+from hitchdeck_edge.dispatch.responses import send_refusal
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
 from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Call
@@ -17,12 +17,12 @@
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import CallerConnection
-from hitchdeck_edge.serving.front import IncomingRequest
-from hitchdeck_edge.serving.gauges import EntryMetrics
+from hitchdeck_edge.serving.caller_server import IncomingRequest
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
+from hitchdeck_edge.serving.metrics import EntryMetrics
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
-from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.state.fleet_state import FleetState
 
 CALLER_DISCONNECTED = 'caller gone'
