--- a/packages/control/src/hitchdeck_control/fleet/deltas.py
+++ b/packages/control/src/hitchdeck_control/fleet/deltas.py
@@ -1,7 +1,7 @@
 """Configuration changes as routers receive them."""
 
 from hitchdeck_control.machine.configuration import changes_since
-from hitchdeck_control.machine.machine import StateMachine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_core.resources import encode_resource
 from hitchdeck_core.wire.hitchdeck_pb2 import Delta, ResourceChange
 
--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
+from hitchdeck_control.fleet.assignments import needed_assignments
 from hitchdeck_control.fleet.deltas import DeltaCache
 from hitchdeck_control.fleet.directory import DirectoryState
-from hitchdeck_control.fleet.duties import needed_assignments
 from hitchdeck_control.fleet.presence import Presence, RouterTable
 from hitchdeck_control.fleet.usage import UsageTable
-from hitchdeck_control.machine.machine import StateMachine
 from hitchdeck_control.machine.state import ShardAssignment
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock, boot_seconds, wall_seconds
--- a/packages/control/src/hitchdeck_control/machine/machine.py
+++ b/packages/control/src/hitchdeck_control/machine/state_machine.py
@@ -2,7 +2,7 @@
 
 from expression import Result
 
-from hitchdeck_control.machine import configuration, ledger, remembering
+from hitchdeck_control.machine import configuration, deduplication, ledger
 from hitchdeck_control.machine.state import MachineState, Order, ShardAssignment
 from hitchdeck_core.commands import (
     AssignShard,
@@ -46,14 +46,14 @@
         # The log's own clock never runs back, whoever leads.
         self.state.clock = max(self.state.clock, submission.taken_at)
         self._expire()
-        answer = remembering.find_recorded_outcome(self.state, submission)
+        answer = deduplication.find_recorded_outcome(self.state, submission)
         if answer is not None:
             return answer
         version = self.state.version
         outcome = self._run(submission.command)
         if self.state.version != version:
             self.version_changed.notify()
-        remembering.record_outcome(self.state, submission, outcome)
+        deduplication.record_outcome(self.state, submission, outcome)
         return outcome
 
     def dump(self) -> bytes:
--- a/packages/control/src/hitchdeck_control/process.py
+++ b/packages/control/src/hitchdeck_control/process.py
@@ -9,10 +9,10 @@
 from hitchdeck_control.errors import DiskFailedError
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.orders import OrderSender, WeightStore
-from hitchdeck_control.machine.machine import StateMachine, first_command
+from hitchdeck_control.machine.state_machine import StateMachine, first_command
 from hitchdeck_control.raft import replication
 from hitchdeck_control.raft.election import run_elections
-from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import (
     Replica,
     ReplicaIdentity,
--- a/packages/control/src/hitchdeck_control/raft/election.py
+++ b/packages/control/src/hitchdeck_control/raft/election.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import Replica, Role
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
--- a/packages/daemon/src/hitchdeck_daemon/main.py
+++ b/packages/daemon/src/hitchdeck_daemon/main.py
@@ -11,8 +11,8 @@
 
 from hitchdeck_control.process import ControlProcess, start_control
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import MeteredLoop
 from hitchdeck_core.errors import HitchdeckError
+from hitchdeck_core.loop_load import MeteredLoop
 from hitchdeck_core.settings import Settings, load_settings
 from hitchdeck_router.process import RouterProcess, start_router
 
--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import MeteredLoop
 from hitchdeck_core.errors import HitchdeckError, SettingsError
 from hitchdeck_core.ids import Address
+from hitchdeck_core.loop_load import MeteredLoop
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.settings import BoxSettings
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -4,9 +4,9 @@
 from http import HTTPStatus
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
+from hitchdeck_core.loop_load import loop_utilization
 from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import (
--- a/packages/edge/src/hitchdeck_edge/dispatch/upstream_connection.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/upstream_connection.py
@@ -10,9 +10,9 @@
 
 import h11
 
-from hitchdeck_core.busyness import loop_lag
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.ids import Address
+from hitchdeck_core.loop_load import loop_lag
 from hitchdeck_core.sockets import enable_keepalive, has_unread_input
 from hitchdeck_edge.errors import IncompleteResponseError, NotSentError
 from hitchdeck_edge.model.calls import Header
--- a/packages/edge/src/hitchdeck_edge/hub/connected_boxes.py
+++ b/packages/edge/src/hitchdeck_edge/hub/connected_boxes.py
@@ -6,9 +6,9 @@
 from operator import attrgetter
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address
+from hitchdeck_core.loop_load import PERCENT
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
 from hitchdeck_edge.links.hub_streams import (
     MAX_MISSED_FRAMES,
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -9,7 +9,7 @@
 from hitchdeck_control.raft import replication
 from hitchdeck_control.raft.delays import SchedulingDelay
 from hitchdeck_control.raft.election import run_elections
-from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import Replica
 from hitchdeck_control.raft.service import ReplicationService
 from hitchdeck_core import logs
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -3,8 +3,8 @@
 import math
 import secrets
 
-from hitchdeck_core.busyness import PERCENT, loop_utilization
 from hitchdeck_core.ids import Address
+from hitchdeck_core.loop_load import PERCENT, loop_utilization
 from hitchdeck_core.quarantine.messages import encode_update
 from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -6,10 +6,10 @@
 from grpclib.client import Channel, Stream
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import loop_utilization
 from hitchdeck_core.channels import open_channel
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address, UpstreamName
+from hitchdeck_core.loop_load import loop_utilization
 from hitchdeck_core.wire.spread_grpc import PlacingStub
 from hitchdeck_core.wire.spread_pb2 import (
     Decision,
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -6,10 +6,10 @@
 from tornado.httpserver import HTTPServer
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, loop_utilization, take_longest_turn
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
+from hitchdeck_core.loop_load import PERCENT, loop_utilization, take_longest_turn
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_edge.dispatch.budget import RetryBudget
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -4,9 +4,9 @@
 import random
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import loop_lag, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
+from hitchdeck_core.loop_load import loop_lag, loop_utilization
 from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.responses import send_refusal
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -7,7 +7,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from hitchdeck_core.busyness import loop_utilization
+from hitchdeck_core.loop_load import loop_utilization
 from hitchdeck_core.sockets import peer_has_closed
 from hitchdeck_edge.errors import CallerDisconnectedError
 from hitchdeck_edge.serving.overload import should_close
--- a/packages/edge/src/hitchdeck_edge/serving/caller_server.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller_server.py
@@ -17,7 +17,7 @@
 from tornado.netutil import add_accept_handler
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import loop_utilization
+from hitchdeck_core.loop_load import loop_utilization
 from hitchdeck_edge.serving.handoff import GREETING, Handoff, should_hand_off
 from hitchdeck_edge.serving.shedding import Shedder
 
--- a/packages/edge/src/hitchdeck_edge/serving/metrics.py
+++ b/packages/edge/src/hitchdeck_edge/serving/metrics.py
@@ -2,9 +2,9 @@
 
 from collections import Counter
 
-from hitchdeck_core.busyness import PERCENT, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
+from hitchdeck_core.loop_load import PERCENT, loop_utilization
 from hitchdeck_edge.model.document import RouteName
 from hitchdeck_edge.model.request_context import THIS_BOX, RequestContext
 
--- a/packages/edge/src/hitchdeck_edge/serving/rejections.py
+++ b/packages/edge/src/hitchdeck_edge/serving/rejections.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, loop_lag, loop_utilization
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import RequestId
+from hitchdeck_core.loop_load import PERCENT, loop_lag, loop_utilization
 from hitchdeck_edge.model.refusals import Refusal
 
 MAX_IDS = 64
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -7,10 +7,10 @@
 from typing import cast
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.machine.machine import StateMachine, first_command
+from hitchdeck_control.machine.state_machine import StateMachine, first_command
 from hitchdeck_control.raft import membership, replication
 from hitchdeck_control.raft.election import handle_vote, run_elections
-from hitchdeck_control.raft.links import PeerClient
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import (
     Replica,
     ReplicaIdentity,
--- a/tests/cover/test_busyness.py
+++ b/tests/cover/test_busyness.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hitchdeck_core.busyness import (
+from hitchdeck_core.loop_load import (
     LoopLoad,
     MeteredLoop,
     loop_utilization,
--- a/tests/cover/test_machine.py
+++ b/tests/cover/test_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hitchdeck_control.machine.machine import StateMachine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_core.commands import (
     AssignShard,
     Batch,
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -12,7 +12,7 @@
 from hitchdeck_control.fleet import orders
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.orders import OrderSender, WeightStore
-from hitchdeck_control.machine.machine import StateMachine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_control.raft.replica import Leadership
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.commands import Command, FinishOrder, PlaceOrder, Put
--- a/tests/cover/test_suspended_timers.py
+++ b/tests/cover/test_suspended_timers.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from hitchdeck_core.busyness import MeteredLoop
+from hitchdeck_core.loop_load import MeteredLoop
 from hitchdeck_core.signals import Signal
 
 HOUR = 3600.0
--- a/tests/fuzz/test_machine_fuzz.py
+++ b/tests/fuzz/test_machine_fuzz.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hitchdeck_control.machine.machine import StateMachine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_core.commands import Command, Delete
 from hitchdeck_core.outcomes import Applied, Granted, Outcome, Pending, Refused, Settled
 from tests.cover.test_machine import RETENTION, claim, put, settle, submit
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -64,8 +64,8 @@
     ),
     Mechanism(
         'answers remembered by number',
-        f'{_CONTROL}/machine/machine.py',
-        'remembering.remember(self.state, submission, outcome)',
+        f'{_CONTROL}/machine/state_machine.py',
+        'deduplication.record_outcome(self.state, submission, outcome)',
         'pass',
         'test_resend_gets_the_first_answer',
     ),
@@ -155,7 +155,7 @@
     ),
     Mechanism(
         'duties move when their holder is lost',
-        f'{_CONTROL}/fleet/duties.py',
+        f'{_CONTROL}/fleet/assignments.py',
         'if assignment is not None and assignment.incarnation in holders:',
         'if assignment is not None:',
         'test_loss_of_the_scheduler_loses_no_answer',
