--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -140,7 +140,7 @@
         """Add what a hub lacks of the ends and verdicts that this box knows."""
         quarantine = self.known.quarantine
         position = self.sent_positions.get(hub, SYNC_START)
-        news, self.sent_positions[hub] = quarantine.update_since(sent_positions)
+        news, self.sent_positions[hub] = quarantine.update_since(position)
         if news.crashes or news.verdicts:
             frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
