--- a/packages/edge/src/hitchdeck_edge/hub/attendees.py
+++ b/packages/edge/src/hitchdeck_edge/hub/attendees.py
@@ -13,111 +13,122 @@
 from hitchdeck_edge.links.attend import SILENT_FRAMES, box_idle, hub_idle
 from hitchdeck_edge.state.tallies import Tally, tally_of, total_of
 
-SUM_SECONDS = 0.1
+TOTAL_CACHE_SECONDS = 0.1
 """How long the sum over the fleet is kept: a third of the time between reports.
 Made anew for each box's frame it took a sixth of a hub's processor time (profile
 of ten seconds, 88 boxes and 90 engines)."""
 
 
 @dataclass(slots=True)
-class Attendee:
-    """One box on one stream; ``busy`` is the part of its time that it works."""
+class ConnectedBox:
+    """One box on one stream; ``utilization`` is the part of its time that it works."""
 
     hello: Hello
     last_frame: float
     version: int = 0
     evacuations: int = 0
     ready: bool = False
-    reports_here: bool = False
-    boxes: int = 0
-    busy: float = 0
+    reports_to_this_hub: bool = False
+    reported_boxes: int = 0
+    utilization: float = 0
     tally: Tally = field(default_factory=Tally)
 
 
-RELIEF_FROM = 0.5
+RELIEF_UTILIZATION = 0.5
 """Utilization from which a box is sent addresses of idle boxes of its domain."""
 
-RELIEF_UP_TO = 0.35
+RELIEF_TARGET_UTILIZATION = 0.35
 """Utilization up to which a box takes connections from others."""
 
-MOST_RELIEF = 8
+MAX_RELIEF_TARGETS = 8
 """Addresses that it is sent."""
 
-Place = tuple[str, bool]
+BoxKey = tuple[str, bool]
 """A machine's name, and whether its hub or its entry box is meant."""
 
 
-class Attendees:
+class ConnectedBoxes:
     """All hubs and entry boxes that attend this hub."""
 
     def __init__(self, now: Clock, domain: str) -> None:
         self.now = now
         self.domain = domain
-        self.boxes: dict[Place, Attendee] = {}
-        self.hub_boxes: dict[Place, Attendee] = {}
+        self.boxes: dict[BoxKey, ConnectedBox] = {}
+        self.hub_boxes: dict[BoxKey, ConnectedBox] = {}
         self.sum = Tally()
         self.summed_at = -math.inf
         self.count = 0
         self.counted_at = -math.inf
 
-    def enter(self, hello: Hello) -> Attendee:
+    def register(self, hello: Hello) -> ConnectedBox:
         """Start the record of a box; it replaces that of an earlier life."""
-        attendee = Attendee(hello, self.now())
-        self.boxes[_place(hello)] = attendee
+        connected_box = ConnectedBox(hello, self.now())
+        self.boxes[_box_key(hello)] = connected_box
         if hello.hub_address:
-            self.hub_boxes[_place(hello)] = attendee
+            self.hub_boxes[_box_key(hello)] = connected_box
         logs.info('box attends', attendee=hello.box, entry=hello.entry_address)
-        return attendee
+        return connected_box
 
-    def leave(self, attendee: Attendee) -> None:
+    def unregister(self, connected_box: ConnectedBox) -> None:
         """End the record of a box, unless a newer stream has replaced it."""
-        place = _place(attendee.hello)
-        if self.boxes.get(place) is attendee:
-            self.boxes.pop(place)
-            self.hub_boxes.pop(place, None)
-            logs.info('box left', attendee=attendee.hello.box)
+        key = _box_key(connected_box.hello)
+        if self.boxes.get(key) is connected_box:
+            self.boxes.pop(key)
+            self.hub_boxes.pop(key, None)
+            logs.info('box left', attendee=connected_box.hello.box)
 
-    def note(self, attendee: Attendee, frame: BoxFrame) -> None:
+    def record_frame(self, connected_box: ConnectedBox, frame: BoxFrame) -> None:
         """Take what a box reports."""
-        attendee.last_frame = self.now()
-        attendee.version = int(frame.version)
-        attendee.evacuations = int(frame.evacuations)
-        attendee.ready = frame.ready
-        attendee.reports_here = frame.wants_reports
-        attendee.boxes = int(frame.boxes)
-        attendee.busy = frame.busy_percent / PERCENT
-        if frame.wants_reports or attendee.hello.hub_address:
-            attendee.tally = tally_of(frame)
-
-    def idle(self, attendee: Attendee) -> float:
+        connected_box.last_frame = self.now()
+        connected_box.version = int(frame.version)
+        connected_box.evacuations = int(frame.evacuations)
+        connected_box.ready = frame.ready
+        connected_box.reports_to_this_hub = frame.wants_reports
+        connected_box.reported_boxes = int(frame.boxes)
+        connected_box.utilization = frame.busy_percent / PERCENT
+        if frame.wants_reports or connected_box.hello.hub_address:
+            connected_box.tally = tally_of(frame)
+
+    def idle_interval(self, connected_box: ConnectedBox) -> float:
         """Return the seconds between idle frames of a box or hub and this hub."""
-        near = attendee.hello.domain == self.domain
-        return hub_idle(near) if attendee.hello.hub_address else box_idle(near)
-
-    def hears_at_once(self, attendee: Attendee) -> bool:
+        same_domain = connected_box.hello.domain == self.domain
+        return (
+            hub_idle(same_domain)
+            if connected_box.hello.hub_address
+            else box_idle(same_domain)
+        )
+
+    def gets_updates_at_once(self, connected_box: ConnectedBox) -> bool:
         """Tell whether a box or hub is sent news when it comes."""
-        near = attendee.hello.domain == self.domain
-        return near or attendee.reports_here or bool(attendee.hello.hub_address)
-
-    def entries(self) -> list[Attendee]:
+        same_domain = connected_box.hello.domain == self.domain
+        return (
+            same_domain
+            or connected_box.reports_to_this_hub
+            or bool(connected_box.hello.hub_address)
+        )
+
+    def ready_entries(self) -> list[ConnectedBox]:
         """Return the entry boxes that are alive and ready."""
         return [one for one in self._alive() if one.hello.entry_address and one.ready]
 
-    def relief_for(self, attendee: Attendee) -> list[Address]:
+    def relief_targets_for(self, connected_box: ConnectedBox) -> list[Address]:
         """Return boxes that take connections from one that is short of time."""
-        if attendee.busy <= RELIEF_FROM or not attendee.hello.relief_address:
+        if (
+            connected_box.utilization <= RELIEF_UTILIZATION
+            or not connected_box.hello.relief_address
+        ):
             return []
         able = [
             one
-            for one in self.entries()
+            for one in self.ready_entries()
             if one.hello.relief_address
-            and one.hello.domain == attendee.hello.domain
-            and one.busy < RELIEF_UP_TO
+            and one.hello.domain == connected_box.hello.domain
+            and one.utilization < RELIEF_TARGET_UTILIZATION
         ]
-        able.sort(key=attrgetter('busy'))
-        return [Address(one.hello.relief_address) for one in able[:MOST_RELIEF]]
+        able.sort(key=attrgetter('utilization'))
+        return [Address(one.hello.relief_address) for one in able[:MAX_RELIEF_TARGETS]]
 
-    def hubs(self) -> list[Attendee]:
+    def hubs(self) -> list[ConnectedBox]:
         """Return the hubs that are alive."""
         # Asked for with every frame: it must not look at every box.
         return self._alive(self.hub_boxes)
@@ -126,21 +137,21 @@
         """Return the addresses of the hubs that are alive."""
         return {Address(one.hello.hub_address) for one in self.hubs()}
 
-    def own_boxes(self) -> list[Attendee]:
+    def reporting_boxes(self) -> list[ConnectedBox]:
         """Return the entry boxes that report to this hub."""
-        return [one for one in self._alive() if one.reports_here]
+        return [one for one in self._alive() if one.reports_to_this_hub]
 
-    def own_total(self) -> Tally:
+    def reporting_total(self) -> Tally:
         """Return the sum over the boxes that report to this hub."""
-        return total_of(one.tally for one in self.own_boxes())
+        return total_of(one.tally for one in self.reporting_boxes())
 
-    def total(self) -> Tally:
+    def fleet_total(self) -> Tally:
         """Return the sum over the fleet: own boxes and what hubs passed on.
 
-        Nobody may change it, and it is up to ``SUM_SECONDS`` old.
+        Nobody may change it, and it is up to ``TOTAL_CACHE_SECONDS`` old.
         """
-        if self.now() - self.summed_at >= SUM_SECONDS:
-            reporting = self.own_boxes() + self.hubs()
+        if self.now() - self.summed_at >= TOTAL_CACHE_SECONDS:
+            reporting = self.reporting_boxes() + self.hubs()
             self.sum = total_of(one.tally for one in reporting)
             self.summed_at = self.now()
         return self.sum
@@ -148,23 +159,27 @@
     def box_count(self) -> int:
         """Return how many entry boxes the fleet has, as far as known.
 
-        It is up to ``SUM_SECONDS`` old.
+        It is up to ``TOTAL_CACHE_SECONDS`` old.
         """
-        if self.now() - self.counted_at >= SUM_SECONDS:
-            reported = sum(one.boxes for one in self.hubs())
-            self.count = max(len(self.own_boxes()) + reported, len(self.entries()))
+        if self.now() - self.counted_at >= TOTAL_CACHE_SECONDS:
+            reported = sum(one.reported_boxes for one in self.hubs())
+            self.count = max(
+                len(self.reporting_boxes()) + reported, len(self.ready_entries())
+            )
             self.counted_at = self.now()
         return self.count
 
-    def _alive(self, boxes: Mapping[Place, Attendee] | None = None) -> list[Attendee]:
+    def _alive(
+        self, boxes: Mapping[BoxKey, ConnectedBox] | None = None
+    ) -> list[ConnectedBox]:
         now = self.now()
         known = self.boxes if boxes is None else boxes
         return [
             one
             for one in known.values()
-            if now - one.last_frame <= SILENT_FRAMES * self.idle(one)
+            if now - one.last_frame <= SILENT_FRAMES * self.idle_interval(one)
         ]
 
 
-def _place(hello: Hello) -> Place:
+def _box_key(hello: Hello) -> BoxKey:
     return (hello.box, bool(hello.hub_address))
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.hitchdeck_pb2 import Member
 from hitchdeck_core.wire.spread_pb2 import Hello
-from hitchdeck_edge.hub.attendees import Attendees
+from hitchdeck_edge.hub.attendees import ConnectedBoxes
 from hitchdeck_edge.hub.spread import HubState
 
 TEND_SECONDS = 0.3
@@ -43,7 +43,7 @@
     """Name the hub that founds, as the first seed without a disk; once."""
     await asyncio.sleep(NAMING_SECONDS)
     while not state.founder:
-        able = [one for one in state.attendees.hubs() if one.hello.may_found]
+        able = [one for one in state.connected_boxes.hubs() if one.hello.may_found]
         if able:
             state.founder = min(Address(one.hello.hub_address) for one in able)
             logs.info('founder named', hub=state.founder)
@@ -57,7 +57,9 @@
     logs.info('group founded', replica=replica.me.replica)
 
 
-async def tend_group(replica: Replica, attendees: Attendees, needed: int) -> None:
+async def tend_group(
+    replica: Replica, connected_boxes: ConnectedBoxes, needed: int
+) -> None:
     """Admit and dismiss while this replica leads; for ever."""
     while True:
         await asyncio.sleep(TEND_SECONDS)
@@ -65,17 +67,19 @@
             continue
         try:
             async with asyncio.timeout(CATCH_UP_SECONDS):
-                await _tend_once(replica, attendees, needed)
+                await _tend_once(replica, connected_boxes, needed)
         except (MembershipError, NotLeaderError, OutcomeUnknownError) as error:
             logs.info('membership unchanged', reason=str(error))
         except TimeoutError:
             logs.warning('membership change takes long', seconds=CATCH_UP_SECONDS)
 
 
-async def _tend_once(replica: Replica, attendees: Attendees, needed: int) -> None:
-    for attendee in attendees.hubs():
-        if attendee.hello.replica:
-            await _admit(replica, attendee.hello)
+async def _tend_once(
+    replica: Replica, connected_boxes: ConnectedBoxes, needed: int
+) -> None:
+    for connected_box in connected_boxes.hubs():
+        if connected_box.hello.replica:
+            await _admit(replica, connected_box.hello)
     silent = membership.silent_voters(replica, SILENT_SECONDS)
     if silent and len(replica.voters()) - len(silent) >= needed:
         await membership.dismiss(replica, silent[0])
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -52,13 +52,13 @@
 
     def compose(self, hub: Address, home: bool, first: bool) -> BoxFrame:
         """Return the next frame for another hub."""
-        own = self.state.attendees.own_total()
+        own = self.state.connected_boxes.reporting_total()
         frame = BoxFrame(
             version=self.state.documents.version,
             evacuations=self.state.evacuations.edition,
             loads=own.loads(),
             demands=own.demands(),
-            boxes=len(self.state.attendees.own_boxes()),
+            boxes=len(self.state.connected_boxes.reporting_boxes()),
             heard=self.liveness.heard_for(hub),
         )
         if first:
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -11,7 +11,7 @@
 from hitchdeck_core.wire.spread_grpc import PlacingBase
 from hitchdeck_core.wire.spread_pb2 import Placed, PlacedFrame, PlacingFrame
 from hitchdeck_core.wire.spread_pb2 import Wanted as WantedMessage
-from hitchdeck_edge.hub.attendees import Attendees
+from hitchdeck_edge.hub.attendees import ConnectedBoxes
 from hitchdeck_edge.links.placing_messages import decode_wanted, encode_decision
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import HubSettings
@@ -124,8 +124,10 @@
     settings: HubSettings,
     documents: Documents,
     registry: Registry,
-    attendees: Attendees,
+    connected_boxes: ConnectedBoxes,
 ) -> PlacingService:
     """Return the service of a hub, with a scheduler of its own."""
     scheduler = new_scheduler(settings, documents, registry)
-    return PlacingService(scheduler, FleetSize(attendees.box_count, scheduler.now))
+    return PlacingService(
+        scheduler, FleetSize(connected_boxes.box_count, scheduler.now)
+    )
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -95,7 +95,7 @@
     def figures(self) -> str:
         """Return counters in the Prometheus text form."""
         replica = self.replica
-        attendees = self.state.attendees
+        connected_boxes = self.state.connected_boxes
         figures = {
             'document_version': self.state.documents.version,
             'evacuations_edition': self.state.evacuations.edition,
@@ -103,8 +103,8 @@
             'upstreams_cold': len(self.state.registry.cold.cold_now()),
             'upstreams': len(self.state.registry.records),
             'upstream_changes_total': self.state.registry.changes,
-            'entry_boxes_ready': len(attendees.entries()),
-            'hubs_in_reach': len(attendees.hubs()),
+            'entry_boxes_ready': len(connected_boxes.ready_entries()),
+            'hubs_in_reach': len(connected_boxes.hubs()),
             'contents_judged': len(self.state.quarantine.verdicts.known),
             'term': replica.term if replica else 0,
             'commit_index': replica.commit_index if replica else 0,
@@ -124,8 +124,8 @@
 
     def _doors(self) -> list[Door]:
         """Return the entry boxes that are ready."""
-        attendees = self.state.attendees
-        hubs = {one.hello.box for one in attendees.hubs()} | {self.settings.box}
+        connected_boxes = self.state.connected_boxes
+        hubs = {one.hello.box for one in connected_boxes.hubs()} | {self.settings.box}
         return [
             Door(
                 Address(one.hello.entry_address),
@@ -134,7 +134,7 @@
                 beside_hub=one.hello.box in hubs,
                 busy=one.busy,
             )
-            for one in attendees.entries()
+            for one in connected_boxes.ready_entries()
         ]
 
     def _log_change(self, domain: str, near: int, elsewhere: int) -> None:
@@ -169,7 +169,7 @@
             settings,
             state.documents,
             state.registry,
-            state.attendees,
+            state.connected_boxes,
         ),
         replica=replica,
         # A full disk is none of these: the task that syncs ended for good with it,
@@ -256,5 +256,5 @@
     supervisor.permanent('founding', lambda: peer.found_when_named(replica))
     supervisor.permanent(
         'group',
-        lambda: formation.tend_group(replica, hub.state.attendees, needed),
+        lambda: formation.tend_group(replica, hub.state.connected_boxes, needed),
     )
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -18,7 +18,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_grpc import SpreadBase
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
-from hitchdeck_edge.hub.attendees import Attendee, Attendees
+from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
 from hitchdeck_edge.links.attend import REPORT_SECONDS
 from hitchdeck_edge.links.records import decode_suspicion, encode_upstream
 from hitchdeck_edge.settings import HubSettings
@@ -41,7 +41,7 @@
     durable: bool
     documents: Documents
     registry: Registry
-    attendees: Attendees
+    connected_boxes: ConnectedBoxes
     quarantine: Quarantine
     evacuations: Evacuations
     founder: Address = Address('')
@@ -59,7 +59,7 @@
         durable=settings.data_folder is not None,
         documents=documents,
         registry=registry,
-        attendees=Attendees(boot_seconds, settings.domain),
+        connected_boxes=ConnectedBoxes(boot_seconds, settings.domain),
         quarantine=Quarantine(boot_seconds, news),
         evacuations=Evacuations(domain_closer(registry, documents), news),
         news=news,
@@ -89,78 +89,78 @@
         first = await stream.recv_message()
         if first is None:
             return
-        attendees = self.state.attendees
-        attendee = attendees.enter(first.hello)
-        self._take(attendee, first)
-        sender = asyncio.create_task(self._send(attendee, stream))
+        connected_boxes = self.state.connected_boxes
+        connected_box = connected_boxes.register(first.hello)
+        self._take(connected_box, first)
+        sender = asyncio.create_task(self._send(connected_box, stream))
         try:
-            await self._receive(attendee, stream)
+            await self._receive(connected_box, stream)
         finally:
             sender.cancel()
-            attendees.leave(attendee)
+            connected_boxes.unregister(connected_box)
 
-    async def _receive(self, attendee: Attendee, stream: BoxStream) -> None:
+    async def _receive(self, connected_box: ConnectedBox, stream: BoxStream) -> None:
         while True:
             frame = await stream.recv_message()
             if frame is None:
                 return
-            self._take(attendee, frame)
+            self._take(connected_box, frame)
 
-    def _take(self, attendee: Attendee, frame: BoxFrame) -> None:
+    def _take(self, connected_box: ConnectedBox, frame: BoxFrame) -> None:
         state = self.state
-        state.attendees.note(attendee, frame)
+        state.connected_boxes.record_frame(connected_box, frame)
         for name in frame.heard:
             state.registry.hear(UpstreamName(name))
         if frame.HasField('quarantine'):
             news = decode_news(frame.quarantine, state.quarantine.now())
-            ended = state.quarantine.take(news, attendee.hello.box)
+            ended = state.quarantine.take(news, connected_box.hello.box)
             # Only what is news: a box tells all it knows each time that it comes.
             for life in ended:
                 state.registry.suspect(life)
         for record in frame.suspicions:
             state.registry.merge_suspicion(decode_suspicion(record))
 
-    async def _send(self, attendee: Attendee, stream: BoxStream) -> None:
+    async def _send(self, connected_box: ConnectedBox, stream: BoxStream) -> None:
         sent = _Sent()
         try:
             while True:
                 known = self.state.news.count
-                await stream.send_message(self._frame(attendee, sent))
-                await self._wait(attendee, known)
+                await stream.send_message(self._frame(connected_box, sent))
+                await self._wait(connected_box, known)
         except TRANSPORT_ERRORS:
             # The receiving side sees the same end and logs that the box left.
             return
 
-    async def _wait(self, attendee: Attendee, known: int) -> None:
+    async def _wait(self, connected_box: ConnectedBox, known: int) -> None:
         """Wait until a box is to be sent a frame, of news or of none.
 
         Boxes of other domains hear news at once from hubs of their own; this hub
         sends it with the next idle frame, in case they reach none of these.
         """
         await asyncio.sleep(GATHERING_SECONDS)
-        pause = self._pause(attendee) - GATHERING_SECONDS
-        if not self.state.attendees.hears_at_once(attendee):
+        pause = self._pause(connected_box) - GATHERING_SECONDS
+        if not self.state.connected_boxes.gets_updates_at_once(connected_box):
             await asyncio.sleep(pause)
         elif self.state.news.count == known:
             await self.state.news.wait(pause)
 
-    def _pause(self, attendee: Attendee) -> float:
-        if attendee.reports_here:
+    def _pause(self, connected_box: ConnectedBox) -> float:
+        if connected_box.reports_to_this_hub:
             return REPORT_SECONDS
-        return self.state.attendees.idle(attendee)
+        return self.state.connected_boxes.idle_interval(connected_box)
 
-    def _frame(self, attendee: Attendee, sent: _Sent) -> HubFrame:
+    def _frame(self, connected_box: ConnectedBox, sent: _Sent) -> HubFrame:
         state = self.state
         frame = HubFrame()
         if not sent.introduced:
             frame.domain = state.domain
             frame.durable = state.durable
             sent.introduced = True
-        if state.documents.version > max(sent.document, attendee.version):
+        if state.documents.version > max(sent.document, connected_box.version):
             sent.document = state.documents.version
             frame.document.CopyFrom(state.documents.message())
         edition = state.evacuations.edition
-        if edition > max(sent.evacuations, attendee.evacuations):
+        if edition > max(sent.evacuations, connected_box.evacuations):
             sent.evacuations = edition
             frame.evacuations.CopyFrom(state.evacuations.message())
         if state.registry.changes > sent.change:
@@ -172,13 +172,13 @@
             )
         _add_verdicts(frame, sent, state.quarantine)
         self._add_hubs(frame, sent)
-        frame.relief.extend(state.attendees.relief_for(attendee))
-        if attendee.reports_here:
-            _add_reports(frame, attendee, state.attendees)
+        frame.relief.extend(state.connected_boxes.relief_targets_for(connected_box))
+        if connected_box.reports_to_this_hub:
+            _add_reports(frame, connected_box, state.connected_boxes)
         return frame
 
     def _add_hubs(self, frame: HubFrame, sent: _Sent) -> None:
-        addresses = self.state.attendees.hub_addresses()
+        addresses = self.state.connected_boxes.hub_addresses()
         hubs = frozenset(addresses | {self.state.address})
         frame.founder = self.state.founder
         if hubs != sent.hubs:
@@ -192,8 +192,10 @@
         frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
 
 
-def _add_reports(frame: HubFrame, attendee: Attendee, attendees: Attendees) -> None:
-    others = attendees.total().without(attendee.tally)
+def _add_reports(
+    frame: HubFrame, connected_box: ConnectedBox, connected_boxes: ConnectedBoxes
+) -> None:
+    others = connected_boxes.fleet_total().without(connected_box.tally)
     frame.loads.extend(others.loads())
     frame.demands.extend(others.demands())
-    frame.boxes = attendees.box_count()
+    frame.boxes = connected_boxes.box_count()
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -12,11 +12,11 @@
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
 from hitchdeck_edge.hub.attendees import (
-    MOST_RELIEF,
-    RELIEF_FROM,
-    RELIEF_UP_TO,
-    Attendee,
-    Attendees,
+    MAX_RELIEF_TARGETS,
+    RELIEF_TARGET_UTILIZATION,
+    RELIEF_UTILIZATION,
+    ConnectedBox,
+    ConnectedBoxes,
 )
 from hitchdeck_edge.process import EntryBox
 from hitchdeck_edge.serving import front, handoff
@@ -191,23 +191,27 @@
     assert targets.choose() is None
 
 
-def attending(attendees: Attendees, name: str, domain: str, busy: float) -> Attendee:
+def attending(
+    connected_boxes: ConnectedBoxes, name: str, domain: str, busy: float
+) -> ConnectedBox:
     hello = Hello(
         box=name, domain=domain, entry_address=f'{name}:1', relief_address=f'{name}:2'
     )
-    attendee = attendees.enter(hello)
-    attendees.note(attendee, BoxFrame(ready=True, busy_percent=round(100 * busy)))
-    return attendee
+    connected_box = connected_boxes.register(hello)
+    connected_boxes.record_frame(
+        connected_box, BoxFrame(ready=True, busy_percent=round(100 * busy))
+    )
+    return connected_box
 
 
 def test_a_busy_box_is_told_of_the_idlest_of_its_domain() -> None:
-    attendees = Attendees(FakeClock(), 'a')
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
     for number in range(20):
-        attending(attendees, f'a{number}', 'a', number / 100)
-    attending(attendees, 'full', 'a', RELIEF_UP_TO + 0.1)
-    attending(attendees, 'far', 'b', 0)
-    calm = attending(attendees, 'calm', 'a', RELIEF_FROM)
-    busy = attending(attendees, 'busy', 'a', RELIEF_FROM + 0.1)
-    assert not attendees.relief_for(calm)
-    relief = attendees.relief_for(busy)
-    assert relief == [f'a{number}:2' for number in range(MOST_RELIEF)]
+        attending(connected_boxes, f'a{number}', 'a', number / 100)
+    attending(connected_boxes, 'full', 'a', RELIEF_TARGET_UTILIZATION + 0.1)
+    attending(connected_boxes, 'far', 'b', 0)
+    calm = attending(connected_boxes, 'calm', 'a', RELIEF_UTILIZATION)
+    busy = attending(connected_boxes, 'busy', 'a', RELIEF_UTILIZATION + 0.1)
+    assert not connected_boxes.relief_targets_for(calm)
+    relief = connected_boxes.relief_targets_for(busy)
+    assert relief == [f'a{number}:2' for number in range(MAX_RELIEF_TARGETS)]
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.ids import Address, PoolName, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.hub.attendees import Attendee, Attendees
+from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
 from hitchdeck_edge.hub.process import Hub
 from hitchdeck_edge.hub.spread import GATHERING_SECONDS
 from hitchdeck_edge.model.upstreams import Phase, Upstream
@@ -250,11 +250,15 @@
     # Three hubs of six were never admitted where both shared a machine.
     hub = Hello(box='m1', hub_address='10.0.0.1:7', replica='m1#1')
     entry = Hello(box='m1', entry_address='10.0.0.1:8')
-    attendees = Attendees(boot_seconds, 'a')
+    connected_boxes = ConnectedBoxes(boot_seconds, 'a')
     for hello in (hub, entry) if hub_first else (entry, hub):
-        attendees.note(attendees.enter(hello), BoxFrame(ready=True))
-    assert [one.hello.replica for one in attendees.hubs()] == ['m1#1']
-    assert [one.hello.entry_address for one in attendees.entries()] == ['10.0.0.1:8']
+        connected_boxes.record_frame(
+            connected_boxes.register(hello), BoxFrame(ready=True)
+        )
+    assert [one.hello.replica for one in connected_boxes.hubs()] == ['m1#1']
+    assert [one.hello.entry_address for one in connected_boxes.ready_entries()] == [
+        '10.0.0.1:8'
+    ]
 
 
 @pytest.mark.parametrize(
@@ -267,11 +271,11 @@
     told: bool,
 ) -> None:
     clock = FakeClock()
-    attendees = Attendees(clock, 'a')
+    connected_boxes = ConnectedBoxes(clock, 'a')
     hello = Hello(box='m1', domain=domain, entry_address='10.0.0.1:8')
-    attendees.note(attendees.enter(hello), BoxFrame(ready=True))
+    connected_boxes.record_frame(connected_boxes.register(hello), BoxFrame(ready=True))
     clock.seconds += seconds
-    assert bool(attendees.entries()) == told
+    assert bool(connected_boxes.ready_entries()) == told
 
 
 def upstream(name: str, sequence: int, phase: Phase = Phase.serving) -> Upstream:
@@ -319,24 +323,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     looks: list[str] = []
-    attendees = Attendees(FakeClock(), 'a')
-    idle = attendees.idle
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
+    idle = connected_boxes.idle_interval
 
-    def counted(attendee: Attendee) -> float:
-        looks.append(attendee.hello.box)
-        return idle(attendee)
+    def counted(connected_box: ConnectedBox) -> float:
+        looks.append(connected_box.hello.box)
+        return idle(connected_box)
 
-    monkeypatch.setattr(attendees, 'idle', counted)
+    monkeypatch.setattr(connected_boxes, 'idle_interval', counted)
     for number in range(300):
         hello = Hello(box=f'b{number}', entry_address=f'b{number}:1', domain='a')
-        attendees.note(attendees.enter(hello), BoxFrame(ready=True))
+        connected_boxes.record_frame(
+            connected_boxes.register(hello), BoxFrame(ready=True)
+        )
     for number in range(5):
-        attendees.enter(Hello(box=f'h{number}', hub_address=f'h{number}:1'))
-    assert attendees.box_count() == 300
+        connected_boxes.register(Hello(box=f'h{number}', hub_address=f'h{number}:1'))
+    assert connected_boxes.box_count() == 300
     looks.clear()
     for _ in range(10):
-        assert len(attendees.hub_addresses()) == 5
-        assert attendees.box_count() == 300
+        assert len(connected_boxes.hub_addresses()) == 5
+        assert connected_boxes.box_count() == 300
     assert len(looks) == 50
 
 
@@ -353,10 +359,10 @@
 def test_news_goes_at_once_to_those_who_hear_it_from_no_nearer_hub(
     hello: Hello, *, reports: bool, at_once: bool
 ) -> None:
-    attendees = Attendees(FakeClock(), 'a')
-    attendee = attendees.enter(hello)
-    attendees.note(attendee, BoxFrame(wants_reports=reports))
-    assert attendees.hears_at_once(attendee) is at_once
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
+    connected_box = connected_boxes.register(hello)
+    connected_boxes.record_frame(connected_box, BoxFrame(wants_reports=reports))
+    assert connected_boxes.gets_updates_at_once(connected_box) is at_once
 
 
 async def test_a_burst_of_news_reaches_a_box_in_few_frames(site: Site) -> None:
