--- a/bench/directory.py
+++ b/bench/directory.py
@@ -17,7 +17,7 @@
 
 from bench.common import append_row, listed
 from hitchdeck_core.ids import Address, BoxName
-from hitchdeck_edge.hub.directory import CallerKey, Door, answer_for
+from hitchdeck_edge.hub.directory import CallerKey, ReadyEntry, select_addresses
 from hitchdeck_edge.hub.process import ADDRESS_SECONDS
 
 MOST = 64
@@ -34,7 +34,7 @@
 LONG_KEEPERS = 3
 KEEP_TIMES = 3
 
-Tell = Callable[[CallerKey, str, list[Door]], list[Address]]
+Tell = Callable[[CallerKey, str, list[ReadyEntry]], list[Address]]
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
 class Play:
     """One fleet, one way to answer; what came of it."""
 
-    doors: list[Door]
+    entries: list[ReadyEntry]
     tell: Tell
     chance: random.Random
     lost_at: dict[Address, float] = field(default_factory=dict)
@@ -65,7 +65,7 @@
     def ask(self, caller: Caller, at: float) -> None:
         """Let a caller make one request."""
         if at >= caller.until:
-            seen = [one for one in self.doors if not self._noticed(one, at)]
+            seen = [one for one in self.entries if not self._noticed(one, at)]
             caller.told = self.tell(caller.key, caller.domain, seen)
             caller.until = at + caller.keep
             caller.failed.clear()
@@ -74,8 +74,8 @@
             if choice is None or self._reach(caller, choice, at):
                 return
 
-    def _noticed(self, door: Door, at: float) -> bool:
-        return self.lost_at.get(door.address, math.inf) + NOTICE_SECONDS <= at
+    def _noticed(self, entry: ReadyEntry, at: float) -> bool:
+        return self.lost_at.get(entry.address, math.inf) + NOTICE_SECONDS <= at
 
     def _choose(self, caller: Caller) -> Address | None:
         left = [one for one in caller.told if one not in caller.failed]
@@ -96,27 +96,29 @@
     return address.split('.')[1]
 
 
-def lowest(_caller: CallerKey, _domain: str, doors: list[Door]) -> list[Address]:
+def lowest(
+    _caller: CallerKey, _domain: str, entries: list[ReadyEntry]
+) -> list[Address]:
     """Return what every caller was told before: the lowest addresses."""
-    return sorted(door.address for door in doors)[:MOST]
+    return sorted(entry.address for entry in entries)[:MOST]
 
 
-def near(caller: CallerKey, domain: str, doors: list[Door]) -> list[Address]:
+def near(caller: CallerKey, domain: str, entries: list[ReadyEntry]) -> list[Address]:
     """Return what a caller is told now."""
-    return answer_for(caller, domain, doors, MOST).addresses
+    return select_addresses(caller, domain, entries, MOST).addresses
 
 
 WAYS: dict[str, Tell] = {'lowest': lowest, 'near': near}
 
 
-def doors_of(boxes: int, domains: int) -> list[Door]:
+def doors_of(boxes: int, domains: int) -> list[ReadyEntry]:
     """Return a fleet's boxes, two of each domain beside hubs."""
     return [
-        Door(
+        ReadyEntry(
             Address(f'10.{number % domains}.0.{number}:80'),
             BoxName(f'b{number}'),
             str(number % domains),
-            beside_hub=number < 2 * domains,
+            shares_machine_with_hub=number < 2 * domains,
         )
         for number in range(boxes)
     ]
@@ -150,11 +152,11 @@
 
 
 def _lose(run: Play, boxes: int) -> None:
-    for door in run.chance.sample(run.doors, max(1, int(boxes * LOST_PART))):
-        run.lost_at[door.address] = LOST_AT_SECONDS
-    for door in run.doors:
-        if door.domain == '0':
-            run.lost_at.setdefault(door.address, DOMAIN_LOST_AT_SECONDS)
+    for entry in run.chance.sample(run.entries, max(1, int(boxes * LOST_PART))):
+        run.lost_at[entry.address] = LOST_AT_SECONDS
+    for entry in run.entries:
+        if entry.domain == '0':
+            run.lost_at.setdefault(entry.address, DOMAIN_LOST_AT_SECONDS)
 
 
 def _keeps(number: int) -> float:
@@ -191,9 +193,9 @@
     worst = 0.0
     for domain in range(1, domains):
         counts = [
-            run.used[door.address]
-            for door in run.doors
-            if door.domain == str(domain) and door.address not in run.lost_at
+            run.used[entry.address]
+            for entry in run.entries
+            if entry.domain == str(domain) and entry.address not in run.lost_at
         ]
         serving = [count for count in counts if count] or [1]
         worst = max(worst, max(counts) * len(serving) / max(1, sum(serving)))
--- a/packages/edge/src/hitchdeck_edge/hub/directory.py
+++ b/packages/edge/src/hitchdeck_edge/hub/directory.py
@@ -19,87 +19,88 @@
 CallerKey = NewType('CallerKey', str)
 """What is the same each time a caller asks, and differs between callers."""
 
-ELSEWHERE = 1
+MIN_OTHER_DOMAINS = 1
 """Boxes of other domains in each answer: a caller that gets no new answer
 because its domain is lost has somewhere to go.  Each costs a part of the
 connections that cross domains, one in 41 where a domain has 40 boxes."""
 
-FEWEST = 16
+MIN_ADDRESSES = 16
 """Boxes that an answer names at least, if the fleet has them.  A flood comes from
 one domain, in a second, and what was told stays in use for some: five boxes of a
 small domain had no processor time left for 20 s, and 0.18 of what their callers
 were owed was earned.  To cross costs a fiftieth of a long request's worth."""
 
-LEAST_PART = 0.5
+MIN_DOMAIN_FRACTION = 0.5
 """Part of a usual domain's boxes that a domain's callers get at least.  With
 half of its boxes lost a domain still carries its callers; with fewer, others
 take part."""
 
-BUSY = 0.15
+BUSY_UTILIZATION = 0.15
 """Part of its time that a box works from which a domain's callers are sent
 elsewhere too.  A flood asks for five to ten times as much within a second, and
 callers keep what they were told for some: the rest has to carry it until then."""
 
-FULL = 0.5
+SATURATED_UTILIZATION = 0.5
 """Part of its time from which a box is given as little as it can be: requests
 wait for each other in it, and its answers come late."""
 
-MOST_ELSEWHERE = 4.0
+MAX_SPILL_RATIO = 4.0
 """Boxes elsewhere for each at home where those have no room at all: a flood of a
 fifth of the callers is carried by all boxes then."""
 
-UNEVEN = 1.2
+IMBALANCE_RATIO = 1.2
 """Utilization of a box over the mean of an answer above which it is told to a part of
 the callers only."""
 
-DAMPING = 0.75
+DAMPING_EXPONENT = 0.75
 """Exponent below 1, so that a box whose callers have left does not get all of them
 back at once."""
 
-FEWEST_KEPT = 3
+MIN_KEPT = 3
 """Boxes that an answer still names when overloaded ones are left out."""
 
-ALONE_AT_LEAST = 8
+MIN_BOXES_WITHOUT_HUB = 8
 """Boxes without a hub beside them that a domain must have before those with one
 are left out: a hub answers the fleet, on the same processor."""
 
-_SPREAD = 'spread'
+_THINNING_SALT = 'spread'
 
 
 @dataclass(frozen=True, slots=True)
-class Door:
+class ReadyEntry:
     """An entry box that is ready: where callers reach it.
 
-    ``beside_hub`` tells whether a hub runs on the same machine, ``busy`` which
+    ``shares_machine_with_hub`` tells whether a hub runs on the same machine,
+    ``utilization`` which
     part of its time the box worked of late, from 0 to 1.
     """
 
     address: Address
     box: BoxName
     domain: str
-    beside_hub: bool
-    busy: float = 0.0
+    shares_machine_with_hub: bool
+    utilization: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AddressSelection:
     """What a caller is told: boxes of its own domain, and others."""
 
-    near: tuple[Address, ...]
-    elsewhere: tuple[Address, ...]
+    same_domain: tuple[Address, ...]
+    other_domains: tuple[Address, ...]
 
     @property
     def addresses(self) -> list[Address]:
         """Return all of them, in an order that says nothing."""
-        return sorted({*self.near, *self.elsewhere})
+        return sorted({*self.same_domain, *self.other_domains})
 
 
-def answer_for(
+def select_addresses(
     caller: CallerKey,
     domain: str,
-    doors: Collection[Door],
-    most: int,
-) -> Answer:
+    entries: Collection[ReadyEntry],
+    limit: int,
+) -> AddressSelection:
     """Return what a caller in a domain is told.
 
     Parameters
@@ -113,22 +114,30 @@
     most
         How many addresses an answer may hold.
     """
-    near = _spared(door for door in doors if door.domain == domain)
-    far = _with_room(door for door in doors if door.domain != domain)
-    spare = max(ELSEWHERE, _enough(doors) - len(near), _relief(near))
-    shown = _shown_elsewhere(len(near), min(spare, len(far)), most)
-    return Answer(
-        near=_draw(caller, near, most - shown),
-        elsewhere=_draw(caller, far, shown),
+    same_domain = _prefer_without_hub(
+        entry for entry in entries if entry.domain == domain
+    )
+    other_domains = _unsaturated(entry for entry in entries if entry.domain != domain)
+    wanted = max(
+        MIN_OTHER_DOMAINS,
+        _min_boxes(entries) - len(same_domain),
+        _spill_count(same_domain),
+    )
+    from_other_domains = _other_domains_count(
+        len(same_domain), min(wanted, len(other_domains)), limit
+    )
+    return AddressSelection(
+        same_domain=_select(caller, same_domain, limit - from_other_domains),
+        other_domains=_select(caller, other_domains, from_other_domains),
     )
 
 
-def doors_in_areas(
-    doors: Sequence[Door],
+def entries_in_areas(
+    entries: Sequence[ReadyEntry],
     domain: str,
-    homes: frozenset[str],
+    allowed_areas: frozenset[str],
     areas: Mapping[str, str],
-) -> Sequence[Door]:
+) -> Sequence[ReadyEntry]:
     """Return the boxes for a host whose requests have homes, all where it has none.
 
     Those of the caller's area and of homes; if none of them is ready, any box.
@@ -142,14 +151,14 @@
     areas
         The area of each failure domain.
     """
-    if not homes:
-        return doors
-    allowed = homes | {areas.get(domain)}
-    return [door for door in doors if areas.get(door.domain) in allowed] or doors
+    if not allowed_areas:
+        return entries
+    allowed = allowed_areas | {areas.get(domain)}
+    return [entry for entry in entries if areas.get(entry.domain) in allowed] or entries
 
 
-def spread_load(
-    caller: CallerKey, answer: Answer, doors: Iterable[Door]
+def without_overloaded(
+    caller: CallerKey, selection: AddressSelection, entries: Iterable[ReadyEntry]
 ) -> list[Address]:
     """Return an answer's addresses without some of the overloaded boxes.
 
@@ -157,74 +166,85 @@
     with the same one.  A box that works more than the others is told to a part of the
     callers, the same ones each time, so that the rest go elsewhere.
     """
-    busy = {door.address: door.busy for door in doors}
-    told = answer.addresses
-    mean = sum(busy[one] for one in told) / max(1, len(told))
-    level = max(BUSY, UNEVEN * mean)
+    utilization = {entry.address: entry.utilization for entry in entries}
+    addresses = selection.addresses
+    mean = sum(utilization[one] for one in addresses) / max(1, len(addresses))
+    level = max(BUSY_UTILIZATION, IMBALANCE_RATIO * mean)
     kept = [
         address
-        for address in told
-        if busy[address] <= level
-        or _draw_part(caller, address) < math.pow(level / busy[address], DAMPING)
+        for address in addresses
+        if utilization[address] <= level
+        or _thinning_fraction(caller, address)
+        < math.pow(level / utilization[address], DAMPING_EXPONENT)
     ]
-    if len(kept) >= min(FEWEST_KEPT, len(told)):
+    if len(kept) >= min(MIN_KEPT, len(addresses)):
         return kept
-    return told
+    return addresses
 
 
-def _draw_part(caller: CallerKey, address: Address) -> float:
+def _thinning_fraction(caller: CallerKey, address: Address) -> float:
     """Return a number from 0 to 1, always the same for a caller and a box."""
     # Not the hash by which boxes are drawn: those drawn all rank high by it.
-    return stable_hash(_SPREAD, caller, address) / HASH_VALUES
+    return stable_hash(_THINNING_SALT, caller, address) / HASH_VALUES
 
 
-def _enough(doors: Collection[Door]) -> int:
+def _min_boxes(entries: Collection[ReadyEntry]) -> int:
     """Return how many boxes can carry the callers of a usual domain."""
-    sizes = Counter(door.domain for door in doors)
-    usual = len(doors) / max(1, len(sizes))
-    return max(FEWEST, math.ceil(usual * LEAST_PART))
+    sizes = Counter(entry.domain for entry in entries)
+    mean_size = len(entries) / max(1, len(sizes))
+    return max(MIN_ADDRESSES, math.ceil(mean_size * MIN_DOMAIN_FRACTION))
 
 
-def _shown_elsewhere(near: int, far: int, most: int) -> int:
+def _other_domains_count(same_domain: int, other_domains: int, limit: int) -> int:
     """Return how many boxes elsewhere fit, in the proportion that is wanted.
 
     At least one of either kind is shown, if there is one and room for both.
     """
-    if near + far <= most:
-        return far
-    if not near:
-        return most
-    part = round(most * far / (near + far))
-    return min(most - 1, max(min(far, ELSEWHERE), part))
+    if same_domain + other_domains <= limit:
+        return other_domains
+    if not same_domain:
+        return limit
+    part = round(limit * other_domains / (same_domain + other_domains))
+    return min(limit - 1, max(min(other_domains, MIN_OTHER_DOMAINS), part))
 
 
-def _relief(near: Sequence[Door]) -> int:
+def _spill_count(same_domain: Sequence[ReadyEntry]) -> int:
     """Return how many boxes elsewhere take part of a flood's load.
 
-    None while those at home have room, ``MOST_ELSEWHERE`` for each where they
+    None while those at home have room, ``MAX_SPILL_RATIO`` for each where they
     have none, and in proportion between, so that what is sent away settles.
     """
-    busy = sum(door.busy for door in near) / max(1, len(near))
-    over = min(1, max(0, busy - BUSY) / (FULL - BUSY))
-    return round(len(near) * MOST_ELSEWHERE * over)
+    utilization = sum(entry.utilization for entry in same_domain) / max(
+        1, len(same_domain)
+    )
+    over = min(
+        1,
+        max(0, utilization - BUSY_UTILIZATION)
+        / (SATURATED_UTILIZATION - BUSY_UTILIZATION),
+    )
+    return round(len(same_domain) * MAX_SPILL_RATIO * over)
 
 
-def _with_room(doors: Iterable[Door]) -> list[Door]:
+def _unsaturated(entries: Iterable[ReadyEntry]) -> list[ReadyEntry]:
     """Return the boxes that have room, or all of them if none has."""
-    given = list(doors)
-    return [door for door in given if door.busy < FULL] or given
+    candidates = list(entries)
+    return [
+        entry for entry in candidates if entry.utilization < SATURATED_UTILIZATION
+    ] or candidates
 
 
-def _spared(doors: Iterable[Door]) -> list[Door]:
+def _prefer_without_hub(entries: Iterable[ReadyEntry]) -> list[ReadyEntry]:
     """Return a domain's boxes, without those beside a hub if it has many."""
-    given = list(doors)
-    alone = [door for door in given if not door.beside_hub]
-    return alone if len(alone) >= ALONE_AT_LEAST else given
+    candidates = list(entries)
+    without_hub = [entry for entry in candidates if not entry.shares_machine_with_hub]
+    return without_hub if len(without_hub) >= MIN_BOXES_WITHOUT_HUB else candidates
 
 
-def _draw(caller: CallerKey, doors: Sequence[Door], most: int) -> tuple[Address, ...]:
+def _select(
+    caller: CallerKey, entries: Sequence[ReadyEntry], limit: int
+) -> tuple[Address, ...]:
     """Return some boxes by rendezvous: few change when one comes or goes."""
-    addresses = [door.address for door in doors]
-    if len(addresses) <= most:
+    addresses = [entry.address for entry in entries]
+    if len(addresses) <= limit:
         return tuple(addresses)
-    return tuple(Address(one) for one in ranked(caller, addresses)[: max(0, most)])
+    return tuple(Address(one) for one in ranked(caller, addresses)[: max(0, limit)])
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -20,10 +20,10 @@
 from hitchdeck_edge.hub import formation
 from hitchdeck_edge.hub.directory import (
     CallerKey,
-    Door,
-    answer_for,
-    doors_in_areas,
-    spread_load,
+    ReadyEntry,
+    entries_in_areas,
+    select_addresses,
+    without_overloaded,
 )
 from hitchdeck_edge.hub.documents import DocumentsService, Seat
 from hitchdeck_edge.hub.documents_client import DocumentsClient
@@ -83,10 +83,14 @@
         if boot_seconds() - self.started < GATHERING_SECONDS:
             return []
         homes = self.state.documents.table.homes(host)
-        doors = doors_in_areas(self._doors(), domain, homes, self.settings.areas)
-        answer = answer_for(caller, domain, doors, most)
-        self._log_change(domain, len(answer.near), len(answer.elsewhere))
-        return spread_load(caller, answer, doors)
+        entries = entries_in_areas(
+            self._ready_entries(), domain, homes, self.settings.areas
+        )
+        selection = select_addresses(caller, domain, entries, most)
+        self._log_change(
+            domain, len(selection.same_domain), len(selection.other_domains)
+        )
+        return without_overloaded(caller, selection, entries)
 
     def address_seconds(self) -> float:
         """Return how long callers may keep what ``entry_addresses`` told."""
@@ -122,25 +126,30 @@
         if self.replica is not None:
             self.replica.log.close()
 
-    def _doors(self) -> list[Door]:
+    def _ready_entries(self) -> list[ReadyEntry]:
         """Return the entry boxes that are ready."""
         connected_boxes = self.state.connected_boxes
         hubs = {one.hello.box for one in connected_boxes.hubs()} | {self.settings.box}
         return [
-            Door(
+            ReadyEntry(
                 Address(one.hello.entry_address),
                 BoxName(one.hello.box),
                 one.hello.domain,
-                beside_hub=one.hello.box in hubs,
-                busy=one.busy,
+                shares_machine_with_hub=one.hello.box in hubs,
+                utilization=one.utilization,
             )
             for one in connected_boxes.ready_entries()
         ]
 
-    def _log_change(self, domain: str, near: int, elsewhere: int) -> None:
-        if self.told.get(domain) != (near, elsewhere):
-            self.told[domain] = (near, elsewhere)
-            logs.info('addresses told', asked=domain, near=near, elsewhere=elsewhere)
+    def _log_change(self, domain: str, same_domain: int, other_domains: int) -> None:
+        if self.told.get(domain) != (same_domain, other_domains):
+            self.told[domain] = (same_domain, other_domains)
+            logs.info(
+                'addresses told',
+                asked=domain,
+                near=same_domain,
+                elsewhere=other_domains,
+            )
 
 
 async def start_hub(settings: HubSettings, read: Callable[[bytes], Document]) -> Hub:
--- a/tests/edge/test_directory.py
+++ b/tests/edge/test_directory.py
@@ -10,44 +10,44 @@
 from hitchdeck_core.hashing import ranked
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_edge.hub.directory import (
-    ALONE_AT_LEAST,
-    ELSEWHERE,
-    FEWEST,
-    Answer,
+    MIN_ADDRESSES,
+    MIN_BOXES_WITHOUT_HUB,
+    MIN_OTHER_DOMAINS,
+    AddressSelection,
     CallerKey,
-    Door,
-    answer_for,
-    spread_load,
+    ReadyEntry,
+    select_addresses,
+    without_overloaded,
 )
 
 MOST = 64
 CALLERS = [CallerKey(f'10.0.0.{number} host') for number in range(200)]
 
 
-def doors_of(sizes: dict[str, int], hubs: int = 0) -> list[Door]:
+def doors_of(sizes: dict[str, int], hubs: int = 0) -> list[ReadyEntry]:
     """Return boxes by domain, the first of each beside hubs."""
     return [
-        Door(
+        ReadyEntry(
             Address(f'10.{place}.0.{number}:80'),
             BoxName(f'{domain}-{number}'),
             domain,
-            beside_hub=number < hubs,
+            shares_machine_with_hub=number < hubs,
         )
         for place, (domain, size) in enumerate(sizes.items())
         for number in range(size)
     ]
 
 
-def fleet(domains: int, size: int, hubs: int = 0) -> list[Door]:
+def fleet(domains: int, size: int, hubs: int = 0) -> list[ReadyEntry]:
     """Return a fleet of domains of one size."""
     return doors_of({f'd{number}': size for number in range(domains)}, hubs)
 
 
 def asked(
-    doors: list[Door], domain: str = 'd0', caller: CallerKey = CALLERS[0]
-) -> Answer:
+    entries: list[ReadyEntry], domain: str = 'd0', caller: CallerKey = CALLERS[0]
+) -> AddressSelection:
     """Return what a caller is told."""
-    return answer_for(caller, domain, doors, MOST)
+    return select_addresses(caller, domain, entries, MOST)
 
 
 @pytest.mark.parametrize(
@@ -56,28 +56,30 @@
 )
 def test_callers_are_sent_into_their_own_domain(domains: int, size: int) -> None:
     answer = asked(fleet(domains, size), 'd1')
-    assert {one.split('.')[1] for one in answer.near} == {'1'}
-    assert len(answer.near) == min(size, MOST - len(answer.elsewhere))
+    assert {one.split('.')[1] for one in answer.same_domain} == {'1'}
+    assert len(answer.same_domain) == min(size, MOST - len(answer.other_domains))
     others = (domains - 1) * size
-    assert len(answer.elsewhere) == min(others, max(ELSEWHERE, FEWEST - size))
+    assert len(answer.other_domains) == min(
+        others, max(MIN_OTHER_DOMAINS, MIN_ADDRESSES - size)
+    )
 
 
 @pytest.mark.parametrize('domains', [3, 5, 12])
 def test_every_box_of_a_large_fleet_serves_callers(domains: int) -> None:
     """The lowest 64 addresses served all callers, and two thirds stood idle."""
-    doors = fleet(domains, 200 // domains)
+    entries = fleet(domains, 200 // domains)
     told: set[Address] = set()
     for number in range(domains):
         for caller in CALLERS:
-            told.update(asked(doors, f'd{number}', caller).near)
-    assert told == {door.address for door in doors}
+            told.update(asked(entries, f'd{number}', caller).same_domain)
+    assert told == {entry.address for entry in entries}
 
 
 def test_a_domain_too_large_for_an_answer_is_shared_evenly() -> None:
-    doors = fleet(2, 150)
+    entries = fleet(2, 150)
     told: Counter[Address] = Counter()
     for caller in CALLERS:
-        told.update(asked(doors, caller=caller).near)
+        told.update(asked(entries, caller=caller).same_domain)
     mean = sum(told.values()) / 150
     assert len(told) == 150
     assert max(told.values()) <= 1.5 * mean
@@ -88,10 +90,10 @@
     leaver: int,
     caller: CallerKey,
 ) -> None:
-    doors = fleet(2, 150)
-    before = set(asked(doors, caller=caller).near)
-    gone = doors.pop(leaver)
-    after = set(asked(doors, caller=caller).near)
+    entries = fleet(2, 150)
+    before = set(asked(entries, caller=caller).same_domain)
+    gone = entries.pop(leaver)
+    after = set(asked(entries, caller=caller).same_domain)
     assert before - after <= {gone.address}
     assert len(after - before) <= 1
 
@@ -104,34 +106,37 @@
     left: int,
     elsewhere: int,
 ) -> None:
-    doors = doors_of({'d0': left, **{f'd{n}': 40 for n in range(1, 5)}})
-    answer = asked(doors)
-    assert len(answer.near) == left
+    entries = doors_of({'d0': left, **{f'd{n}': 40 for n in range(1, 5)}})
+    answer = asked(entries)
+    assert len(answer.same_domain) == left
     expected = elsewhere if left else 20
-    assert abs(len(answer.elsewhere) - expected) <= 2
+    assert abs(len(answer.other_domains) - expected) <= 2
 
 
 def test_callers_of_an_unknown_domain_are_sent_somewhere() -> None:
     answer = asked(fleet(5, 40), 'nowhere')
-    assert not answer.near
-    assert len(answer.elsewhere) == 20
+    assert not answer.same_domain
+    assert len(answer.other_domains) == 20
 
 
 @pytest.mark.parametrize(
     ('size', 'named'),
-    [(ALONE_AT_LEAST + 2, ALONE_AT_LEAST), (ALONE_AT_LEAST + 1, ALONE_AT_LEAST + 1)],
+    [
+        (MIN_BOXES_WITHOUT_HUB + 2, MIN_BOXES_WITHOUT_HUB),
+        (MIN_BOXES_WITHOUT_HUB + 1, MIN_BOXES_WITHOUT_HUB + 1),
+    ],
 )
 def test_boxes_beside_hubs_are_spared_where_others_suffice(
     size: int,
     named: int,
 ) -> None:
-    assert len(asked(fleet(2, size, hubs=2)).near) == named
+    assert len(asked(fleet(2, size, hubs=2)).same_domain) == named
 
 
 @pytest.mark.parametrize('size', [1, 2, 3])
 def test_the_smallest_fleets_name_every_box(size: int) -> None:
-    doors = fleet(1, size)
-    assert asked(doors).addresses == sorted(door.address for door in doors)
+    entries = fleet(1, size)
+    assert asked(entries).addresses == sorted(entry.address for entry in entries)
 
 
 def test_no_box_is_no_address() -> None:
@@ -148,9 +153,9 @@
     domain: str,
     most: int,
 ) -> None:
-    answer = answer_for(CALLERS[0], domain, doors_of(sizes, hubs=1), most)
+    answer = select_addresses(CALLERS[0], domain, doors_of(sizes, hubs=1), most)
     assert 1 <= len(answer.addresses) <= most
-    assert len(answer.addresses) == len(answer.near) + len(answer.elsewhere)
+    assert len(answer.addresses) == len(answer.same_domain) + len(answer.other_domains)
 
 
 @pytest.mark.parametrize(
@@ -171,30 +176,32 @@
     elsewhere: int,
 ) -> None:
     """In a flooded domain two boxes refused two of three, beside 20 idle ones."""
-    doors = [
-        replace(door, busy=busy) if door.domain == 'd0' else door
-        for door in fleet(5, 20)
+    entries = [
+        replace(entry, utilization=busy) if entry.domain == 'd0' else entry
+        for entry in fleet(5, 20)
     ]
-    answer = asked(doors)
-    assert len(answer.near) == near
-    assert len(answer.elsewhere) == elsewhere
+    answer = asked(entries)
+    assert len(answer.same_domain) == near
+    assert len(answer.other_domains) == elsewhere
 
 
 def test_nobody_is_sent_to_boxes_elsewhere_that_have_no_room() -> None:
-    doors = [
-        replace(door, busy=0 if door.domain == 'd1' else 0.9) for door in fleet(3, 5)
+    entries = [
+        replace(entry, utilization=0 if entry.domain == 'd1' else 0.9)
+        for entry in fleet(3, 5)
     ]
-    answer = asked(doors)
-    assert {one.split('.')[1] for one in answer.elsewhere} == {'1'}
+    answer = asked(entries)
+    assert {one.split('.')[1] for one in answer.other_domains} == {'1'}
 
 
 def test_a_flood_in_a_large_domain_is_shared_out_within_one_answer() -> None:
-    doors = [
-        replace(door, busy=1) if door.domain == 'd0' else door for door in fleet(5, 100)
+    entries = [
+        replace(entry, utilization=1) if entry.domain == 'd0' else entry
+        for entry in fleet(5, 100)
     ]
-    answer = asked(doors)
+    answer = asked(entries)
     assert len(answer.addresses) == MOST
-    assert len(answer.near) == round(MOST / 5)
+    assert len(answer.same_domain) == round(MOST / 5)
 
 
 class Pinned:
@@ -203,8 +210,8 @@
     ``flood`` is what they ask together, as a part of what one box can serve.
     """
 
-    def __init__(self, doors: list[Door], flood: float) -> None:
-        self.doors = doors
+    def __init__(self, entries: list[ReadyEntry], flood: float) -> None:
+        self.entries = entries
         self.flood = flood
         self.load: Counter[Address] = Counter()
 
@@ -212,16 +219,16 @@
         """Let each caller ask where to go, and use it."""
         self.load = Counter()
         for caller in CALLERS[:40]:
-            answer = answer_for(caller, 'd0', self.doors, MOST)
-            told = spread_load(caller, answer, self.doors)
+            answer = select_addresses(caller, 'd0', self.entries, MOST)
+            told = without_overloaded(caller, answer, self.entries)
             self.load[Address(ranked('account', told)[0])] += 1
-        self.doors = [
-            replace(door, busy=0.6 * self.busy(door) + 0.4 * door.busy)
-            for door in self.doors
+        self.entries = [
+            replace(entry, utilization=0.6 * self.busy(entry) + 0.4 * entry.utilization)
+            for entry in self.entries
         ]
 
-    def busy(self, door: Door) -> float:
-        return min(1, self.flood * self.load[door.address] / 40)
+    def busy(self, entry: ReadyEntry) -> float:
+        return min(1, self.flood * self.load[entry.address] / 40)
 
 
 @pytest.mark.parametrize('flood', [1, 2, 4, 8])
@@ -235,7 +242,7 @@
     for _ in range(20):
         play.ask_again()
         shares.append(max(play.load.values()) / 40)
-    most = 1 if size < FEWEST / 2 else 0.6
+    most = 1 if size < MIN_ADDRESSES / 2 else 0.6
     assert max(shares) == pytest.approx(1)
     # A small domain's callers are sent elsewhere by turns, most of them at once.
     assert max(shares[4:]) < 1
@@ -243,16 +250,16 @@
 
 
 def test_boxes_that_are_all_alike_are_told_to_everybody() -> None:
-    doors = [replace(door, busy=0.7) for door in fleet(2, 20)]
+    entries = [replace(entry, utilization=0.7) for entry in fleet(2, 20)]
     for caller in CALLERS:
-        answer = asked(doors, caller=caller)
-        assert spread_load(caller, answer, doors) == answer.addresses
+        answer = asked(entries, caller=caller)
+        assert without_overloaded(caller, answer, entries) == answer.addresses
 
 
 @pytest.mark.parametrize('size', [1, 2, 3])
 def test_the_last_boxes_are_told_however_busy_they_are(size: int) -> None:
-    doors = fleet(1, size)
-    doors[0] = replace(doors[0], busy=1)
+    entries = fleet(1, size)
+    entries[0] = replace(entries[0], utilization=1)
     for caller in CALLERS:
-        answer = asked(doors, caller=caller)
-        assert spread_load(caller, answer, doors) == answer.addresses
+        answer = asked(entries, caller=caller)
+        assert without_overloaded(caller, answer, entries) == answer.addresses
--- a/tests/edge/test_homes.py
+++ b/tests/edge/test_homes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hitchdeck_core.ids import AccountName, Address, BoxName
-from hitchdeck_edge.hub.directory import Door, doors_in_areas
+from hitchdeck_edge.hub.directory import ReadyEntry, entries_in_areas
 from hitchdeck_edge.links.placing_messages import decode_wanted, encode_wanted
 from hitchdeck_edge.model.document import AccountKeys, common_homes
 from hitchdeck_edge.state.routing import RoutingTable
@@ -132,9 +132,11 @@
     assert names == {'south'}
 
 
-def doors(domains: str) -> list[Door]:
+def entries(domains: str) -> list[ReadyEntry]:
     return [
-        Door(Address(f'{one}:1'), BoxName(one), one, beside_hub=False)
+        ReadyEntry(
+            Address(f'{one}:1'), BoxName(one), one, shares_machine_with_hub=False
+        )
         for one in domains
     ]
 
@@ -152,8 +154,8 @@
 def test_the_directory_names_boxes_of_the_caller_s_area_or_a_home(
     homes: str, ready: str, named: str
 ) -> None:
-    known = doors_in_areas(doors(ready), 'a', frozenset(homes.split()), AREAS)
-    assert ''.join(door.domain for door in known) == named
+    known = entries_in_areas(entries(ready), 'a', frozenset(homes.split()), AREAS)
+    assert ''.join(entry.domain for entry in known) == named
 
 
 def test_the_homes_of_a_host_are_those_of_its_routes() -> None:
