--- a/packages/edge/src/hitchdeck_edge/hub/documents.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Seat:
+class GroupMember:
     """The replica of this hub, if it has a disk, and what it needs to commit.
 
     ``voters_needed`` is the least number of voters under which nothing that
@@ -34,7 +34,7 @@
     replica: Replica | None
     voters_needed: int
 
-    def check_may_commit(self) -> Replica:
+    def require_leader(self) -> Replica:
         """Return the replica that leads, or raise ``NotLeaderError``."""
         if self.replica is None:
             raise NotLeaderError('')
@@ -46,8 +46,8 @@
 class DocumentsService(DocumentsBase):
     """Serves what hubs ask of the leader."""
 
-    def __init__(self, seat: Seat, documents: Documents) -> None:
-        self.seat = seat
+    def __init__(self, member: GroupMember, documents: Documents) -> None:
+        self.member = member
         self.documents = documents
 
     async def Publish(self, stream: Stream[PublishRequest, PublishReply]) -> None:
@@ -116,15 +116,15 @@
 
     def newest(self) -> Document:
         """Return the newest document, or raise ``NotLeaderError``."""
-        replica = self.seat.check_may_commit()
+        replica = self.member.require_leader()
         replica.check_leads()
         return self.documents.message()
 
     async def _commit(self, entry: GroupEntry) -> bool:
         """Commit an entry, and tell whether what it asks for holds."""
-        replica = self.seat.check_may_commit()
+        replica = self.member.require_leader()
         voters = len(replica.voters())
-        if voters < self.seat.voters_needed:
+        if voters < self.member.voters_needed:
             raise UnavailableError(f'{voters} voters, fewer than are safe')
         return bool(await replica.propose(entry.SerializeToString()))
 
--- a/packages/edge/src/hitchdeck_edge/hub/documents_client.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents_client.py
@@ -25,17 +25,17 @@
 )
 from hitchdeck_edge.errors import SupersededError, UnavailableError
 from hitchdeck_edge.hub.documents import DocumentsService
-from hitchdeck_edge.hub.machine import pack
+from hitchdeck_edge.hub.machine import pack_document
 from hitchdeck_edge.links.hubs import HubBook
 from hitchdeck_edge.model.document import DocumentVersion
 
-CALL_SECONDS = 0.6
+CALL_TIMEOUT_SECONDS = 0.6
 """For one call to the leader: an operator moves on after a second."""
 
-ANSWER_SECONDS = 0.9
+TOTAL_TIMEOUT_SECONDS = 0.9
 """For a whole answer to an operator, all tries together; see above."""
 
-PAUSE_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
 """Between two tries: an election takes some hundred milliseconds."""
 
 Answer = TypeVar('Answer')
@@ -68,8 +68,8 @@
         UnavailableError
             It may or may not come into force.
         """
-        document = pack(version, text)
-        await self._until_answered(partial(self._publish_once, document))
+        document = pack_document(version, text)
+        await self._retry_until_answered(partial(self._publish_once, document))
 
     async def evacuate(self, order: EvacuationOrder) -> None:
         """Return once an order on a failure domain is committed.
@@ -81,7 +81,7 @@
         UnavailableError
             It may or may not come into force.
         """
-        await self._until_answered(partial(self._evacuate_once, order))
+        await self._retry_until_answered(partial(self._evacuate_once, order))
 
     async def newest(self) -> tuple[DocumentVersion, bytes]:
         """Return version and text of the newest document.
@@ -91,48 +91,50 @@
         UnavailableError
             No leader could say so in time.
         """
-        document = await self._until_answered(self._newest_once)
+        document = await self._retry_until_answered(self._newest_once)
         version = DocumentVersion(int(document.version))
         body = document.body
         return version, zlib.decompress(body) if body else b''
 
-    async def _until_answered(
+    async def _retry_until_answered(
         self,
         ask_once: Callable[[float], Awaitable[Answer | None]],
     ) -> Answer:
         """Repeat a call that is told when to end, until it returns an answer."""
-        ends = self.now() + ANSWER_SECONDS
-        while self.now() < ends:
-            answer = await ask_once(ends)
+        deadline = self.now() + TOTAL_TIMEOUT_SECONDS
+        while self.now() < deadline:
+            answer = await ask_once(deadline)
             if answer is not None:
                 return answer
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         raise UnavailableError('no leader answered in time')
 
-    async def _publish_once(self, document: Document, ends: float) -> bool | None:
+    async def _publish_once(self, document: Document, deadline: float) -> bool | None:
         """Return ``True`` once it is committed, ``None`` while that is not sure."""
         if self.service.documents.version >= document.version:
             return True
         commit = partial(self.service.commit, document)
         request = PublishRequest(document=document)
-        return await self._commit_once(commit, request, ends)
+        return await self._commit_once(commit, request, deadline)
 
-    async def _evacuate_once(self, order: EvacuationOrder, ends: float) -> bool | None:
+    async def _evacuate_once(
+        self, order: EvacuationOrder, deadline: float
+    ) -> bool | None:
         commit = partial(self.service.commit_order, order)
-        return await self._commit_once(commit, EvacuateRequest(order=order), ends)
+        return await self._commit_once(commit, EvacuateRequest(order=order), deadline)
 
     async def _commit_once(
         self,
         commit: Callable[[], Awaitable[None]],
         request: PublishRequest | EvacuateRequest,
-        ends: float,
+        deadline: float,
     ) -> bool | None:
         """Commit here if this hub leads, else at the leader; ``None`` if unsure."""
         try:
-            async with asyncio.timeout(ends - self.now()):
+            async with asyncio.timeout(deadline - self.now()):
                 await commit()
         except NotLeaderError as error:
-            self._hint(error.leader_address)
+            self._note_leader(error.leader_address)
         except SupersededError:
             raise
         except (UnavailableError, OutcomeUnknownError, TimeoutError) as error:
@@ -140,26 +142,26 @@
             return None
         else:
             return True
-        reply = await self._call(request, ends)
+        reply = await self._call(request, deadline)
         if isinstance(reply, EvacuateReply) and reply.superseded:
             raise SupersededError(f'a later order than {request} is in force')
         return True if getattr(reply, 'accepted', False) else None
 
-    async def _newest_once(self, ends: float) -> Document | None:
+    async def _newest_once(self, deadline: float) -> Document | None:
         try:
             return self.service.newest()
         except NotLeaderError as error:
-            self._hint(error.leader_address)
-        reply = await self._call(NewestRequest(), ends)
+            self._note_leader(error.leader_address)
+        reply = await self._call(NewestRequest(), deadline)
         if isinstance(reply, NewestReply) and reply.certain:
             return reply.document
         return None
 
-    def _hint(self, address: str) -> None:
+    def _note_leader(self, address: str) -> None:
         if address:
             self.leader = Address(address)
 
-    def _where(self) -> Address | None:
+    def _choose_hub(self) -> Address | None:
         """Return the hub that leads as far as known, else any in reach."""
         if self.leader:
             return self.leader
@@ -168,14 +170,16 @@
     async def _call(
         self,
         request: Request,
-        ends: float,
+        deadline: float,
     ) -> Reply | None:
-        address = self._where()
-        if address is None or self.now() >= ends:
+        address = self._choose_hub()
+        if address is None or self.now() >= deadline:
             return None
         channel = open_channel(address, self.token)
         try:
-            async with asyncio.timeout(min(CALL_SECONDS, ends - self.now())):
+            async with asyncio.timeout(
+                min(CALL_TIMEOUT_SECONDS, deadline - self.now())
+            ):
                 reply = await _ask(DocumentsStub(channel), request)
         except TRANSPORT_ERRORS as error:
             logs.info('leader not reached', hub=address, reason=repr(error))
@@ -191,8 +195,8 @@
         address: Address,
         reply: Reply,
     ) -> None:
-        taken = getattr(reply, 'accepted', False) or getattr(reply, 'certain', False)
-        self.leader = address if taken else Address(reply.leader_address)
+        served = getattr(reply, 'accepted', False) or getattr(reply, 'certain', False)
+        self.leader = address if served else Address(reply.leader_address)
 
 
 async def _ask(stub: DocumentsStub, request: Request) -> Reply:
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -22,67 +22,71 @@
 from hitchdeck_edge.hub.attendees import ConnectedBoxes
 from hitchdeck_edge.hub.spread import HubState
 
-TEND_SECONDS = 0.3
+GROUP_CHECK_SECONDS = 0.3
 """Between two looks at the group: a lost disk is replaced within a second."""
 
-NAMING_SECONDS = 0.6
+FOUNDER_WAIT_SECONDS = 0.6
 """How long a first seed without a disk waits for hubs that have one: all
 machines start within some tenths of a second."""
 
-CATCH_UP_SECONDS = 5.0
+CATCH_UP_TIMEOUT_SECONDS = 5.0
 """For one newcomer; others wait their turn meanwhile."""
 
-SILENT_SECONDS = 4.0
+UNRESPONSIVE_VOTER_SECONDS = 4.0
 """A voter silent for so long may leave the group; a restart takes 1 to 3."""
 
-MOST_VOTERS = 7
+MAX_VOTERS = 7
 """More voters make each commit slower and bear no loss that is asked for."""
 
 
 async def name_founder(state: HubState) -> None:
     """Name the hub that founds, as the first seed without a disk; once."""
-    await asyncio.sleep(NAMING_SECONDS)
+    await asyncio.sleep(FOUNDER_WAIT_SECONDS)
     while not state.founder:
-        able = [one for one in state.connected_boxes.hubs() if one.hello.may_found]
-        if able:
-            state.founder = min(Address(one.hello.hub_address) for one in able)
+        candidates = [
+            one for one in state.connected_boxes.hubs() if one.hello.may_found
+        ]
+        if candidates:
+            state.founder = min(Address(one.hello.hub_address) for one in candidates)
             logs.info('founder named', hub=state.founder)
             state.news.notify()
-        await asyncio.sleep(TEND_SECONDS)
+        await asyncio.sleep(GROUP_CHECK_SECONDS)
 
 
-async def found_alone(replica: Replica) -> None:
+async def found_group_alone(replica: Replica) -> None:
     """Make this replica the only voter of a new group."""
     await membership.found(replica, [_member(_own_hello(replica), voter=True)])
     logs.info('group founded', replica=replica.me.replica)
 
 
-async def tend_group(
-    replica: Replica, connected_boxes: ConnectedBoxes, needed: int
+async def maintain_group(
+    replica: Replica, connected_boxes: ConnectedBoxes, min_voters: int
 ) -> None:
     """Admit and dismiss while this replica leads; for ever."""
     while True:
-        await asyncio.sleep(TEND_SECONDS)
+        await asyncio.sleep(GROUP_CHECK_SECONDS)
         if not replica.has_lease():
             continue
         try:
-            async with asyncio.timeout(CATCH_UP_SECONDS):
-                await _tend_once(replica, connected_boxes, needed)
+            async with asyncio.timeout(CATCH_UP_TIMEOUT_SECONDS):
+                await _maintain_once(replica, connected_boxes, min_voters)
         except (MembershipError, NotLeaderError, OutcomeUnknownError) as error:
             logs.info('membership unchanged', reason=str(error))
         except TimeoutError:
-            logs.warning('membership change takes long', seconds=CATCH_UP_SECONDS)
+            logs.warning(
+                'membership change takes long', seconds=CATCH_UP_TIMEOUT_SECONDS
+            )
 
 
-async def _tend_once(
-    replica: Replica, connected_boxes: ConnectedBoxes, needed: int
+async def _maintain_once(
+    replica: Replica, connected_boxes: ConnectedBoxes, min_voters: int
 ) -> None:
     for connected_box in connected_boxes.hubs():
         if connected_box.hello.replica:
             await _admit(replica, connected_box.hello)
-    silent = membership.silent_voters(replica, SILENT_SECONDS)
-    if silent and len(replica.voters()) - len(silent) >= needed:
-        await membership.dismiss(replica, silent[0])
+    unresponsive = membership.silent_voters(replica, UNRESPONSIVE_VOTER_SECONDS)
+    if unresponsive and len(replica.voters()) - len(unresponsive) >= min_voters:
+        await membership.dismiss(replica, unresponsive[0])
 
 
 async def _admit(replica: Replica, hello: Hello) -> None:
@@ -93,7 +97,7 @@
     if any(one.box == newcomer.box for one in replica.voters()):
         await membership.replace(replica, newcomer)
         return
-    promote = len(replica.voters()) < MOST_VOTERS
+    promote = len(replica.voters()) < MAX_VOTERS
     await membership.admit(replica, newcomer, promote=promote)
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/machine.py
+++ b/packages/edge/src/hitchdeck_edge/hub/machine.py
@@ -29,7 +29,7 @@
 EvacuationsCommitted = Callable[[EvacuationList], None]
 
 
-class GroupMachine:
+class GroupStateMachine:
     """Applies log entries, in log order, the same on every replica."""
 
     def __init__(
@@ -50,8 +50,8 @@
         """
         entry = GroupEntry.FromString(command)
         if entry.HasField('order'):
-            return self._obey(entry.order)
-        self._take_document(entry)
+            return self._apply_order(entry.order)
+        self._apply_document(entry)
         return True
 
     def dump(self) -> bytes:
@@ -64,19 +64,19 @@
     def load(self, encoded: bytes) -> None:
         """Replace the state by that of a snapshot."""
         state = GroupEntry.FromString(encoded)
-        self._take_document(state)
+        self._apply_document(state)
         if state.evacuations.edition > self.edition:
             self.edition = int(state.evacuations.edition)
             self.orders = decode_orders(state.evacuations.orders)
             self.evacuations_committed(state.evacuations)
 
-    def _take_document(self, entry: GroupEntry) -> None:
+    def _apply_document(self, entry: GroupEntry) -> None:
         if entry.version <= self.newest.version:
             return
         self.newest = DocumentMessage(version=entry.version, body=entry.body)
         self.document_committed(DocumentVersion(int(entry.version)), entry.body)
 
-    def _obey(self, order: EvacuationOrder) -> bool:
+    def _apply_order(self, order: EvacuationOrder) -> bool:
         if is_active(self.orders, order.domain) == order.active:
             return True
         if edition_of(self.orders, order.domain) > order.seen_edition:
@@ -91,6 +91,6 @@
         return True
 
 
-def pack(version: DocumentVersion, text: bytes) -> DocumentMessage:
+def pack_document(version: DocumentVersion, text: bytes) -> DocumentMessage:
     """Return a document as it is kept and sent."""
     return DocumentMessage(version=version, body=zlib.compress(text))
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -75,8 +75,8 @@
             named = self.state.founder == self.state.address
             fresh = self.settings.may_found and not replica.members()
             if named and fresh:
-                await formation.found_alone(replica)
-            await asyncio.sleep(formation.TEND_SECONDS)
+                await formation.found_group_alone(replica)
+            await asyncio.sleep(formation.GROUP_CHECK_SECONDS)
 
     def _hello(self) -> Hello:
         replica = self.replica
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -25,7 +25,7 @@
     select_addresses,
     without_overloaded,
 )
-from hitchdeck_edge.hub.documents import DocumentsService, Seat
+from hitchdeck_edge.hub.documents import DocumentsService, GroupMember
 from hitchdeck_edge.hub.documents_client import DocumentsClient
 from hitchdeck_edge.hub.kept_file import (
     KeptFile,
@@ -164,8 +164,8 @@
     replica = open_replica(settings, state.documents, state.evacuations)
     kept_files = _kept_files(settings, state)
     book = _book(settings)
-    seat = Seat(replica, settings.voters_needed)
-    service = DocumentsService(seat, state.documents)
+    member = GroupMember(replica, settings.voters_needed)
+    service = DocumentsService(member, state.documents)
     client = DocumentsClient(service, book, settings.fleet_token, boot_seconds)
     hub = Hub(
         settings=settings,
@@ -254,7 +254,7 @@
 
 def _start_replica(hub: Hub, replica: Replica, peer: HubPeer) -> None:
     supervisor = hub.supervisor
-    needed = hub.settings.voters_needed
+    min_voters = hub.settings.voters_needed
     supervisor.permanent('election', lambda: watch_leader(replica, hub.links))
     supervisor.permanent(
         'replication',
@@ -265,5 +265,7 @@
     supervisor.permanent('founding', lambda: peer.found_when_named(replica))
     supervisor.permanent(
         'group',
-        lambda: formation.tend_group(replica, hub.state.connected_boxes, needed),
+        lambda: formation.maintain_group(
+            replica, hub.state.connected_boxes, min_voters
+        ),
     )
--- a/packages/edge/src/hitchdeck_edge/hub/replica.py
+++ b/packages/edge/src/hitchdeck_edge/hub/replica.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.wire.spread_pb2 import EvacuationList
-from hitchdeck_edge.hub.machine import GroupMachine
+from hitchdeck_edge.hub.machine import GroupStateMachine
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.documents import Documents
@@ -44,13 +44,13 @@
     folder = group_folder(settings.data_folder)
     identity = open_identity(folder, box)
 
-    def take_document(version: DocumentVersion, packed: bytes) -> None:
+    def store_document(version: DocumentVersion, packed: bytes) -> None:
         documents.offer(version, packed, ORIGIN)
 
-    def take_evacuations(message: EvacuationList) -> None:
+    def store_evacuations(message: EvacuationList) -> None:
         evacuations.offer(message, ORIGIN)
 
-    machine = GroupMachine(take_document, take_evacuations)
+    machine = GroupStateMachine(store_document, store_evacuations)
     return Replica(
         Self(identity, box, Address(settings.listen)),
         DurableLog(folder),
--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -17,7 +17,7 @@
     EvacuationOrder,
     GroupEntry,
 )
-from hitchdeck_edge.hub.machine import GroupMachine, pack
+from hitchdeck_edge.hub.machine import GroupStateMachine, pack_document
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.model.evacuations import evacuated_domains
 from hitchdeck_edge.model.upstreams import Phase, Upstream
@@ -145,8 +145,8 @@
     assert not site.hubs[0].state.evacuations.edition
 
 
-def machine_of(lists: list[EvacuationList]) -> GroupMachine:
-    return GroupMachine(lambda _version, _body: None, lists.append)
+def machine_of(lists: list[EvacuationList]) -> GroupStateMachine:
+    return GroupStateMachine(lambda _version, _body: None, lists.append)
 
 
 def command(domain: str, *, active: bool, seen: int) -> bytes:
@@ -168,8 +168,8 @@
 
 def test_entries_of_documents_that_earlier_versions_wrote_are_read() -> None:
     taken: list[int] = []
-    machine = GroupMachine(lambda version, _body: taken.append(version), print)
-    machine.apply(pack(DocumentVersion(7), b'{}').SerializeToString())
+    machine = GroupStateMachine(lambda version, _body: taken.append(version), print)
+    machine.apply(pack_document(DocumentVersion(7), b'{}').SerializeToString())
     machine.load(Document(version=9, body=b'x').SerializeToString())
     assert taken == [7, 9]
 
