--- a/packages/edge/src/hitchdeck_edge/hub/kept_file.py
+++ b/packages/edge/src/hitchdeck_edge/hub/kept_file.py
@@ -29,10 +29,10 @@
 from hitchdeck_edge.state.evacuations import Evacuations
 from hitchdeck_edge.state.registry import Registry
 
-RETRY_SECONDS = 1.0
+WRITE_RETRY_SECONDS = 1.0
 """Pause after the disk refused; what comes next is newer anyway."""
 
-WRITE_SECONDS = 0.2
+WRITE_INTERVAL_SECONDS = 0.2
 """Between two writes of one file, so that a burst of changes costs few."""
 
 ORIGIN = 'disk'
@@ -40,28 +40,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StateCodec:
     """What a file keeps, as functions.
 
-    ``stamp`` grows with each change of it, ``compose`` returns it, and
-    ``recall`` takes it back.
+    ``version`` grows with each change of it, ``encode`` returns it, and
+    ``restore`` takes it back.
     """
 
-    stamp: Callable[[], int]
-    compose: Callable[[], bytes]
-    recall: Callable[[bytes], None]
+    version: Callable[[], int]
+    encode: Callable[[], bytes]
+    restore: Callable[[bytes], None]
 
 
-class KeptFile:
+class StateFile:
     """A file that is replaced as a whole when what it keeps has changed."""
 
-    def __init__(self, path: Path, kept: Kept, changed: Signal) -> None:
+    def __init__(self, path: Path, codec: StateCodec, changed: Signal) -> None:
         self.path = path
-        self.kept = kept
+        self.codec = codec
         self.changed = changed
         self.written = 0
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """Take back what the file holds, if it is whole."""
         try:
             content = self.path.read_bytes()
@@ -76,105 +76,105 @@
                     offset=payload.offset,
                 )
                 return
-            self._take_back(payload)
-        self.written = self.kept.stamp()
+            self._restore_payload(payload)
+        self.written = self.codec.version()
 
     async def run(self) -> None:
         """Write each newer state; for ever."""
         while True:
-            if self.written < self.kept.stamp():
+            if self.written < self.codec.version():
                 await self._write()
-            await self.changed.wait(RETRY_SECONDS)
+            await self.changed.wait(WRITE_RETRY_SECONDS)
 
-    def _take_back(self, payload: bytes) -> None:
+    def _restore_payload(self, payload: bytes) -> None:
         try:
-            self.kept.recall(payload)
+            self.codec.restore(payload)
         except (DecodeError, ValueError) as error:
             # Whole on the disk, and yet not what this version writes.
             logs.warning('kept file unreadable', file=self.path.name, reason=str(error))
 
     async def _write(self) -> None:
-        stamp = self.kept.stamp()
-        content = frame(self.kept.compose())
+        version = self.codec.version()
+        content = frame(self.codec.encode())
         try:
-            await _finished(asyncio.to_thread(replace_file, self.path, content))
+            await _wait_for_thread(asyncio.to_thread(replace_file, self.path, content))
         except OSError as error:
             logs.warning('file not kept', file=self.path.name, reason=repr(error))
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(WRITE_RETRY_SECONDS)
             return
-        self.written = stamp
-        await asyncio.sleep(WRITE_SECONDS)
+        self.written = version
+        await asyncio.sleep(WRITE_INTERVAL_SECONDS)
 
 
-def document_file(folder: Path, documents: Documents) -> KeptFile:
+def document_file(folder: Path, documents: Documents) -> StateFile:
     """Return the file of the newest committed document."""
 
-    def compose() -> bytes:
+    def encode() -> bytes:
         return bytes(documents.message().SerializeToString())
 
-    def recall(payload: bytes) -> None:
+    def restore(payload: bytes) -> None:
         document = Document.FromString(payload)
         version = DocumentVersion(int(document.version))
         documents.offer(version, document.body, ORIGIN)
 
-    kept = Kept(lambda: documents.version, compose, recall)
-    return KeptFile(folder / 'document', kept, documents.changed)
+    codec = StateCodec(lambda: documents.version, encode, restore)
+    return StateFile(folder / 'document', codec, documents.changed)
 
 
-def upstreams_file(folder: Path, registry: Registry) -> KeptFile:
+def upstreams_file(folder: Path, registry: Registry) -> StateFile:
     """Return the file of all upstreams, ended ones too.
 
     They count as heard of at the recall, so those that report no more fall
     silent soon after.
     """
 
-    def compose() -> bytes:
+    def encode() -> bytes:
         left = registry.cold.seconds_left
         records = [
             encode_upstream(one, left(one.name)) for one in registry.records.values()
         ]
         return bytes(HubFrame(upstreams=records).SerializeToString())
 
-    def recall(payload: bytes) -> None:
+    def restore(payload: bytes) -> None:
         for upstream in decode_upstreams(HubFrame.FromString(payload).upstreams):
             registry.merge(upstream, ORIGIN)
 
-    kept = Kept(lambda: registry.changes, compose, recall)
-    return KeptFile(folder / 'upstreams', kept, registry.changed)
+    codec = StateCodec(lambda: registry.changes, encode, restore)
+    return StateFile(folder / 'upstreams', codec, registry.changed)
 
 
-def evacuations_file(folder: Path, evacuations: Evacuations) -> KeptFile:
+def evacuations_file(folder: Path, evacuations: Evacuations) -> StateFile:
     """Return the file of the newest committed orders on failure domains."""
 
-    def compose() -> bytes:
+    def encode() -> bytes:
         return bytes(evacuations.message().SerializeToString())
 
-    def recall(payload: bytes) -> None:
+    def restore(payload: bytes) -> None:
         evacuations.offer(EvacuationList.FromString(payload), ORIGIN)
 
-    kept = Kept(lambda: evacuations.edition, compose, recall)
-    return KeptFile(folder / 'evacuations', kept, evacuations.changed)
+    codec = StateCodec(lambda: evacuations.edition, encode, restore)
+    return StateFile(folder / 'evacuations', codec, evacuations.changed)
 
 
-def quarantine_file(folder: Path, quarantine: Quarantine) -> KeptFile:
+def quarantine_file(folder: Path, quarantine: Quarantine) -> StateFile:
     """Return the file of the verdicts on contents.
 
     Without it three more upstreams would end after all hubs have lost power.
     """
 
-    def compose() -> bytes:
+    def encode() -> bytes:
         news, _ = quarantine.news_since(NOTHING)
         return encode_news(news, quarantine.now()).SerializeToString()
 
-    def recall(payload: bytes) -> None:
+    def restore(payload: bytes) -> None:
         message = QuarantineNews.FromString(payload)
         quarantine.take(decode_news(message, quarantine.now()), ORIGIN)
 
-    kept = Kept(lambda: quarantine.verdicts.changes, compose, recall)
-    return KeptFile(folder / 'quarantine', kept, quarantine.changed)
+    codec = StateCodec(lambda: quarantine.verdicts.changes, encode, restore)
+    return StateFile(folder / 'quarantine', codec, quarantine.changed)
 
 
-async def _finished(work: Coroutine[Any, Any, None]) -> None:
+async def _wait_for_thread(work: Coroutine[Any, Any, None]) -> None:
     """Wait for a thread's work, also when cancelled: it goes on all the same."""
     task = asyncio.create_task(work)
     try:
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -28,7 +28,7 @@
 from hitchdeck_edge.hub.documents import DocumentsService, GroupMember
 from hitchdeck_edge.hub.documents_client import DocumentsClient
 from hitchdeck_edge.hub.kept_file import (
-    KeptFile,
+    StateFile,
     document_file,
     evacuations_file,
     quarantine_file,
@@ -162,7 +162,7 @@
     """
     state = new_state(settings, read)
     replica = open_replica(settings, state.documents, state.evacuations)
-    kept_files = _kept_files(settings, state)
+    state_files = _state_files(settings, state)
     book = _book(settings)
     member = GroupMember(replica, settings.voters_needed)
     service = DocumentsService(member, state.documents)
@@ -188,7 +188,7 @@
     )
     await _listen(hub, service)
     _start_tasks(hub, book)
-    for file in kept_files:
+    for file in state_files:
         hub.supervisor.permanent(f'file {file.path.name}', file.run)
     logs.info('hub listens', address=settings.listen, durable=replica is not None)
     return hub
@@ -207,7 +207,7 @@
     return book
 
 
-def _kept_files(settings: HubSettings, state: HubState) -> list[KeptFile]:
+def _state_files(settings: HubSettings, state: HubState) -> list[StateFile]:
     if settings.data_folder is None:
         return []
     folder = group_folder(settings.data_folder)
@@ -218,7 +218,7 @@
         quarantine_file(folder, state.quarantine),
     ]
     for file in files:
-        file.recall()
+        file.restore()
     return files
 
 
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.kept_file import (
-    KeptFile,
+    StateFile,
     document_file,
     quarantine_file,
     upstreams_file,
@@ -34,10 +34,10 @@
     )
 
 
-async def until_written(file: KeptFile) -> None:
+async def until_written(file: StateFile) -> None:
     task = asyncio.create_task(file.run())
     async with asyncio.timeout(10):
-        while file.written < file.kept.stamp():
+        while file.written < file.codec.version():
             await asyncio.sleep(0.01)
     task.cancel()
 
@@ -63,7 +63,7 @@
         before.merge(record, 'test')
     await until_written(upstreams_file(tmp_path, before))
     after = Registry(boot_seconds, Signal())
-    upstreams_file(tmp_path, after).recall()
+    upstreams_file(tmp_path, after).restore()
     assert after.records == before.records
 
 
@@ -75,7 +75,7 @@
     await until_written(upstreams_file(tmp_path, before))
     clock = [100.0]
     after = Registry(lambda: clock[0], Signal())
-    upstreams_file(tmp_path, after).recall()
+    upstreams_file(tmp_path, after).restore()
     clock[0] += 5
     after.silence(4.8)
     assert after.records[UpstreamName('lost')].silent
@@ -88,7 +88,7 @@
         before.note_end(LifeId(f'e{number}'), [lethal])
     await until_written(quarantine_file(tmp_path, before))
     after = Quarantine(boot_seconds, Signal())
-    quarantine_file(tmp_path, after).recall()
+    quarantine_file(tmp_path, after).restore()
     assert after.holds(lethal)
 
 
@@ -100,8 +100,8 @@
     (tmp_path / kept).write_bytes(content)
     documents = Documents(read_document, Signal())
     registry = Registry(boot_seconds, Signal())
-    document_file(tmp_path, documents).recall()
-    upstreams_file(tmp_path, registry).recall()
+    document_file(tmp_path, documents).restore()
+    upstreams_file(tmp_path, registry).restore()
     assert documents.version == DocumentVersion(0)
     assert not registry.records
 
