--- a/packages/edge/src/hitchdeck_edge/hub/liveness.py
+++ b/packages/edge/src/hitchdeck_edge/hub/liveness.py
@@ -4,11 +4,11 @@
 
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address, InstanceName, UpstreamName
-from hitchdeck_edge.hub.rebirths import Rebirths
+from hitchdeck_edge.hub.rebirths import IncarnationOrder
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.state.registry import Registry
 
-MISSED_REPORTS = 4
+MAX_MISSED_REPORTS = 4
 """Reports in a row that an upstream may miss: one may be seconds late."""
 
 CHECK_SECONDS = 0.5
@@ -28,43 +28,43 @@
         self.registry = registry
         self.now = now
         self.period = period
-        self.direct: dict[UpstreamName, float] = {}
-        self.told: dict[Address, float] = {}
-        self.rebirths = Rebirths(registry, now)
+        self.last_reports: dict[UpstreamName, float] = {}
+        self.last_sent: dict[Address, float] = {}
+        self.incarnation_order = IncarnationOrder(registry, now)
 
     def report(self, upstream: Upstream) -> None:
         """Take a report that an upstream sent to this hub."""
-        counted = self.rebirths.settle(upstream)
-        if counted is None:
+        accepted = self.incarnation_order.resolve(upstream)
+        if accepted is None:
             return
-        self.registry.merge(counted, 'report')
-        self.registry.hear(counted.name)
-        self.direct[counted.name] = self.now()
+        self.registry.merge(accepted, 'report')
+        self.registry.hear(accepted.name)
+        self.last_reports[accepted.name] = self.now()
 
     def end(self, instance: InstanceName, born: int = 0) -> None:
         """Take word that an upstream ends; its latest life where it names none."""
         self.registry.end(instance, 'report', born)
         for name in self.registry.gone():
-            self.direct.pop(name, None)
+            self.last_reports.pop(name, None)
 
-    def heard_for(self, hub: Address) -> list[UpstreamName]:
+    def heard_since_last_frame(self, hub: Address) -> list[UpstreamName]:
         """Return whom this hub has heard since it last told another."""
-        since = self.told.get(hub, 0)
-        self.told[hub] = self.now()
-        return [name for name, at in self.direct.items() if at >= since]
+        since = self.last_sent.get(hub, 0)
+        self.last_sent[hub] = self.now()
+        return [name for name, at in self.last_reports.items() if at >= since]
 
     async def run(self) -> None:
         """Mark silent upstreams; for ever.
 
         A hub that hears nobody is itself cut off and marks nobody.
         """
-        limit = MISSED_REPORTS * self.period
+        limit = MAX_MISSED_REPORTS * self.period
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            if self._hears_somebody(limit):
+            if self._hears_any_upstream(limit):
                 self.registry.silence(limit)
 
-    def _hears_somebody(self, limit: float) -> bool:
+    def _hears_any_upstream(self, limit: float) -> bool:
         newest = max(self.registry.heard.values(), default=0)
         alive = any(
             one.phase is not Phase.gone for one in self.registry.records.values()
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -59,7 +59,7 @@
             loads=own.loads(),
             demands=own.demands(),
             boxes=len(self.state.connected_boxes.reporting_boxes()),
-            heard=self.liveness.heard_for(hub),
+            heard=self.liveness.heard_since_last_frame(hub),
         )
         if first:
             frame.hello.CopyFrom(self._hello())
@@ -67,7 +67,7 @@
 
     def forget(self, hub: Address) -> None:
         """Note that a hub is lost; it is told everything when it is back."""
-        self.liveness.told.pop(hub, None)
+        self.liveness.last_sent.pop(hub, None)
 
     async def found_when_named(self, replica: Replica) -> None:
         """Found the group if this hub is named, else wait; for ever."""
--- a/packages/edge/src/hitchdeck_edge/hub/rebirths.py
+++ b/packages/edge/src/hitchdeck_edge/hub/rebirths.py
@@ -2,7 +2,7 @@
 
 A life is ordered by when it says that it started.  Started after its machine's clock
 was set back, it seems to be an earlier one, and every report of it a late one.  The
-rule: it is believed once it has reported for ``SETTLED_SECONDS`` and the life that
+rule: it is believed once it has reported for ``CONFIRMATION_SECONDS`` and the life that
 seems later is silent or gone.
 """
 
@@ -14,30 +14,30 @@
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.state.registry import Registry
 
-SETTLED_SECONDS = 10.0
+CONFIRMATION_SECONDS = 10.0
 """Longer than a report may be late on its way (some seconds)."""
 
-MOST_DOUBTED = 256
+MAX_UNCONFIRMED = 256
 """Bounds the memory; the one doubted first is dropped."""
 
 
 @dataclass(frozen=True, slots=True)
-class Doubted:
+class UnconfirmedIncarnation:
     """A life that seems earlier: its first report, and when that came."""
 
     since: float
     sequence: int
 
 
-class Rebirths:
+class IncarnationOrder:
     """Settles which reports of an instance are those of its latest life."""
 
     def __init__(self, registry: Registry, now: Clock) -> None:
         self.registry = registry
         self.now = now
-        self.doubted: dict[UpstreamName, Doubted] = {}
+        self.unconfirmed: dict[UpstreamName, UnconfirmedIncarnation] = {}
 
-    def settle(self, upstream: Upstream) -> Upstream | None:
+    def resolve(self, upstream: Upstream) -> Upstream | None:
         """Return a report as it counts, ``None`` if it is of an earlier life."""
         known = self.registry.records.get(upstream.name)
         if known is not None:
@@ -45,9 +45,9 @@
             upstream = replace(upstream, born=known.born)
         newest = self.registry.newest_life(upstream.lineage)
         if newest is None or upstream.age_rank >= newest.age_rank:
-            self.doubted.pop(upstream.name, None)
+            self.unconfirmed.pop(upstream.name, None)
             return upstream
-        if known is not None or not self._is_believed(upstream, newest):
+        if known is not None or not self._is_confirmed(upstream, newest):
             return None
         logs.warning(
             'clock set back',
@@ -56,11 +56,11 @@
         )
         return replace(upstream, born=newest.born + 1)
 
-    def _is_believed(self, upstream: Upstream, newest: Upstream) -> bool:
-        fresh = Doubted(self.now(), upstream.sequence)
-        first = self.doubted.setdefault(upstream.name, fresh)
-        if len(self.doubted) > MOST_DOUBTED:
-            self.doubted.pop(next(iter(self.doubted)))
-        lasted = self.now() - first.since >= SETTLED_SECONDS
-        over = newest.silent or newest.phase is Phase.gone
-        return over and lasted and upstream.sequence > first.sequence
+    def _is_confirmed(self, upstream: Upstream, newest: Upstream) -> bool:
+        fresh = UnconfirmedIncarnation(self.now(), upstream.sequence)
+        first = self.unconfirmed.setdefault(upstream.name, fresh)
+        if len(self.unconfirmed) > MAX_UNCONFIRMED:
+            self.unconfirmed.pop(next(iter(self.unconfirmed)))
+        lasted = self.now() - first.since >= CONFIRMATION_SECONDS
+        ended = newest.silent or newest.phase is Phase.gone
+        return ended and lasted and upstream.sequence > first.sequence
