--- a/bench/directory.py
+++ b/bench/directory.py
@@ -18,7 +18,7 @@
 from bench.common import append_row, listed
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_edge.hub.directory import CallerKey, ReadyEntry, select_addresses
-from hitchdeck_edge.hub.process import ADDRESS_SECONDS
+from hitchdeck_edge.hub.process import ADDRESS_TTL_SECONDS
 
 MOST = 64
 NOTICE_SECONDS = 1.5
@@ -162,7 +162,7 @@
 def _keeps(number: int) -> float:
     """Return how long a caller keeps an answer, in seconds."""
     times = 1 if number % LONG_KEEPERS else KEEP_TIMES
-    return ADDRESS_SECONDS * times
+    return ADDRESS_TTL_SECONDS * times
 
 
 def _requests(
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -49,7 +49,7 @@
         if candidates:
             state.founder = min(Address(one.hello.hub_address) for one in candidates)
             logs.info('founder named', hub=state.founder)
-            state.news.notify()
+            state.changed.notify()
         await asyncio.sleep(GROUP_CHECK_SECONDS)
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -45,7 +45,7 @@
             self.compose,
             accept,
             self.forget,
-            self.state.news,
+            self.state.changed,
             hub_idle,
             hub_pause,
         )
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.registry import Registry
 
-REMEMBERED_SECONDS = 30.0
+FLEET_SIZE_WINDOW_SECONDS = 30.0
 """How long boxes that no longer attend count as part of the fleet."""
 
 
@@ -43,9 +43,12 @@
         self.counted_at = now()
 
     def largest(self) -> int:
-        """Return the largest number of boxes in ``REMEMBERED_SECONDS``."""
+        """Return the largest number of boxes in ``FLEET_SIZE_WINDOW_SECONDS``."""
         count = self.count()
-        if count >= self.most or self.now() - self.counted_at > REMEMBERED_SECONDS:
+        if (
+            count >= self.most
+            or self.now() - self.counted_at > FLEET_SIZE_WINDOW_SECONDS
+        ):
             self.most = count
             self.counted_at = self.now()
         return self.most
@@ -58,8 +61,8 @@
         self.scheduler = scheduler
         self.fleet = fleet
         self.streams = 0
-        self.attending = 0
-        scheduler.placement.cold_budget.part = self.part
+        self.connected = 0
+        scheduler.placement.cold_budget.part = self.fleet_fraction
 
     async def Attend(self, stream: Stream[PlacingFrame, PlacedFrame]) -> None:
         """Serve one box until either side ends the stream."""
@@ -69,16 +72,16 @@
         self.streams += 1
         box = _Box(f'{first.box}#{self.streams}', first.domain)
         logs.info('box is scheduled for', attendee=box.name, open=len(first.open))
-        self.attending += 1
+        self.connected += 1
         try:
             await self._serve(box, first, stream)
         finally:
-            self.attending -= 1
+            self.connected -= 1
             self.scheduler.leave(box.name)
 
-    def part(self) -> float:
+    def fleet_fraction(self) -> float:
         """Return the part of the fleet's boxes that this hub schedules for."""
-        return min(1, self.attending / max(1, self.fleet.largest()))
+        return min(1, self.connected / max(1, self.fleet.largest()))
 
     async def _serve(
         self,
@@ -88,13 +91,13 @@
     ) -> None:
         frame: PlacingFrame | None = first
         while frame is not None:
-            self._take_progress(box, frame)
+            self._apply_progress(box, frame)
             if frame.wanted:
                 answers = [self._place(box, one) for one in frame.wanted]
                 await stream.send_message(PlacedFrame(placed=answers))
             frame = await stream.recv_message()
 
-    def _take_progress(self, box: _Box, frame: PlacingFrame) -> None:
+    def _apply_progress(self, box: _Box, frame: PlacingFrame) -> None:
         for demand in frame.demands:
             account = AccountName(demand.account)
             self.scheduler.shares.recall(account, int(demand.tokens))
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -45,11 +45,11 @@
 from hitchdeck_edge.model.document import Document
 from hitchdeck_edge.settings import HubSettings
 
-ADDRESS_SECONDS = 2
+ADDRESS_TTL_SECONDS = 2
 """How long callers keep addresses: some keep them three times as long, and a
 planned stop must outlast that within a grace of some seconds."""
 
-GATHERING_SECONDS = 1.0
+STARTUP_WAIT_SECONDS = 1.0
 """After its start a hub names no addresses for so long: boxes attend within
 some tenths of a second, and the first ones would get every caller."""
 
@@ -58,7 +58,7 @@
 class Hub:
     """A running hub.
 
-    ``told`` is how many boxes callers of each domain were told of last: of
+    ``last_counts`` is how many boxes callers of each domain were told of last: of
     their own domain, and of others.
     """
 
@@ -74,13 +74,13 @@
     links: Links
     servers: list[Server] = field(default_factory=list)
     started: float = field(default_factory=boot_seconds)
-    told: dict[str, tuple[int, int]] = field(default_factory=dict)
+    last_counts: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def entry_addresses(
         self, caller: CallerKey, domain: str, host: str, most: int
     ) -> list[Address]:
         """Return where a caller may go; nothing until boxes had time to attend."""
-        if boot_seconds() - self.started < GATHERING_SECONDS:
+        if boot_seconds() - self.started < STARTUP_WAIT_SECONDS:
             return []
         homes = self.state.documents.table.homes(host)
         entries = entries_in_areas(
@@ -94,13 +94,13 @@
 
     def address_seconds(self) -> float:
         """Return how long callers may keep what ``entry_addresses`` told."""
-        return min(ADDRESS_SECONDS, self.settings.address_ttl)
+        return min(ADDRESS_TTL_SECONDS, self.settings.address_ttl)
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Return counters in the Prometheus text form."""
         replica = self.replica
         connected_boxes = self.state.connected_boxes
-        figures = {
+        metrics = {
             'document_version': self.state.documents.version,
             'evacuations_edition': self.state.evacuations.edition,
             'evacuated_domains': len(self.state.registry.closed_domains),
@@ -115,7 +115,7 @@
             'voters': len(replica.voters()) if replica else 0,
             'leads': int(replica.is_leader()) if replica else 0,
         }
-        return ''.join(f'hitchdeck_{name} {figures[name]}\n' for name in figures)
+        return ''.join(f'hitchdeck_{name} {metrics[name]}\n' for name in metrics)
 
     async def stop(self) -> None:
         """Stop serving, then the tasks, then close the files."""
@@ -142,8 +142,8 @@
         ]
 
     def _log_change(self, domain: str, same_domain: int, other_domains: int) -> None:
-        if self.told.get(domain) != (same_domain, other_domains):
-            self.told[domain] = (same_domain, other_domains)
+        if self.last_counts.get(domain) != (same_domain, other_domains):
+            self.last_counts[domain] = (same_domain, other_domains)
             logs.info(
                 'addresses told',
                 asked=domain,
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -28,7 +28,7 @@
 
 BoxStream = Stream[BoxFrame, HubFrame]
 
-GATHERING_SECONDS = 0.04
+FRAME_INTERVAL_SECONDS = 0.04
 """Least time between two frames of one stream: news comes in bursts."""
 
 
@@ -45,14 +45,14 @@
     quarantine: Quarantine
     evacuations: Evacuations
     founder: Address = Address('')
-    news: Signal = field(default_factory=Signal)
+    changed: Signal = field(default_factory=Signal)
 
 
 def new_state(settings: HubSettings, read: ReadDocument) -> HubState:
     """Return what a hub knows when it starts; ``read`` decodes documents."""
-    news = Signal()
-    documents = Documents(read, news)
-    registry = Registry(boot_seconds, news)
+    changed = Signal()
+    documents = Documents(read, changed)
+    registry = Registry(boot_seconds, changed)
     return HubState(
         address=Address(settings.listen),
         domain=settings.domain,
@@ -60,9 +60,9 @@
         documents=documents,
         registry=registry,
         connected_boxes=ConnectedBoxes(boot_seconds, settings.domain),
-        quarantine=Quarantine(boot_seconds, news),
-        evacuations=Evacuations(domain_closer(registry, documents), news),
-        news=news,
+        quarantine=Quarantine(boot_seconds, changed),
+        evacuations=Evacuations(domain_closer(registry, documents), changed),
+        changed=changed,
     )
 
 
@@ -91,7 +91,7 @@
             return
         connected_boxes = self.state.connected_boxes
         connected_box = connected_boxes.register(first.hello)
-        self._take(connected_box, first)
+        self._apply_frame(connected_box, first)
         sender = asyncio.create_task(self._send(connected_box, stream))
         try:
             await self._receive(connected_box, stream)
@@ -104,9 +104,9 @@
             frame = await stream.recv_message()
             if frame is None:
                 return
-            self._take(connected_box, frame)
+            self._apply_frame(connected_box, frame)
 
-    def _take(self, connected_box: ConnectedBox, frame: BoxFrame) -> None:
+    def _apply_frame(self, connected_box: ConnectedBox, frame: BoxFrame) -> None:
         state = self.state
         state.connected_boxes.record_frame(connected_box, frame)
         for name in frame.heard:
@@ -124,32 +124,32 @@
         sent = _Sent()
         try:
             while True:
-                known = self.state.news.count
-                await stream.send_message(self._frame(connected_box, sent))
-                await self._wait(connected_box, known)
+                seen = self.state.changed.count
+                await stream.send_message(self._next_frame(connected_box, sent))
+                await self._wait(connected_box, seen)
         except TRANSPORT_ERRORS:
             # The receiving side sees the same end and logs that the box left.
             return
 
-    async def _wait(self, connected_box: ConnectedBox, known: int) -> None:
+    async def _wait(self, connected_box: ConnectedBox, seen: int) -> None:
         """Wait until a box is to be sent a frame, of news or of none.
 
         Boxes of other domains hear news at once from hubs of their own; this hub
         sends it with the next idle frame, in case they reach none of these.
         """
-        await asyncio.sleep(GATHERING_SECONDS)
-        pause = self._pause(connected_box) - GATHERING_SECONDS
+        await asyncio.sleep(FRAME_INTERVAL_SECONDS)
+        interval = self._send_interval(connected_box) - FRAME_INTERVAL_SECONDS
         if not self.state.connected_boxes.gets_updates_at_once(connected_box):
-            await asyncio.sleep(pause)
-        elif self.state.news.count == known:
-            await self.state.news.wait(pause)
+            await asyncio.sleep(interval)
+        elif self.state.changed.count == seen:
+            await self.state.changed.wait(interval)
 
-    def _pause(self, connected_box: ConnectedBox) -> float:
+    def _send_interval(self, connected_box: ConnectedBox) -> float:
         if connected_box.reports_to_this_hub:
             return REPORT_SECONDS
         return self.state.connected_boxes.idle_interval(connected_box)
 
-    def _frame(self, connected_box: ConnectedBox, sent: _Sent) -> HubFrame:
+    def _next_frame(self, connected_box: ConnectedBox, sent: _Sent) -> HubFrame:
         state = self.state
         frame = HubFrame()
         if not sent.introduced:
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -326,7 +326,7 @@
     """Return how far each process is, for whoever waited for it in vain."""
     told = []
     for hub in site.hubs:
-        figures = ', '.join(hub.figures().replace('hitchdeck_', '').splitlines())
+        figures = ', '.join(hub.metrics_text().replace('hitchdeck_', '').splitlines())
         told.append(f'{hub.settings.box}: live {sorted(hub.book.live)}, {figures}')
     for box in site.boxes:
         known = box.link.known
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -12,7 +12,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.hub.placing import REMEMBERED_SECONDS, FleetSize
+from hitchdeck_edge.hub.placing import FLEET_SIZE_WINDOW_SECONDS, FleetSize
 from hitchdeck_edge.links.records import decode_upstream, encode_upstream
 from hitchdeck_edge.model.placing import Choice, Wanted
 from hitchdeck_edge.model.refusals import Refusal
@@ -258,5 +258,5 @@
     assert fleet.largest() == 96
     counts[0] = 40
     assert fleet.largest() == 96
-    clock.seconds += REMEMBERED_SECONDS + 1
+    clock.seconds += FLEET_SIZE_WINDOW_SECONDS + 1
     assert fleet.largest() == 40
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -15,7 +15,7 @@
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
 from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
 from hitchdeck_edge.hub.process import Hub
-from hitchdeck_edge.hub.spread import GATHERING_SECONDS
+from hitchdeck_edge.hub.spread import FRAME_INTERVAL_SECONDS
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.registry import Registry
@@ -388,5 +388,5 @@
     await until(lambda: 'burst59' in link.known.registry.records)
     assert sum(accepted) >= 60
     # However long the burst takes: each hub's frames are some time apart.
-    most = (loop.time() - began) / GATHERING_SECONDS + 2
+    most = (loop.time() - began) / FRAME_INTERVAL_SECONDS + 2
     assert len([one for one in accepted if one]) <= len(site.hubs) * most
