--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -17,7 +17,7 @@
 from hitchdeck_core.errors import HitchdeckError, SettingsError
 from hitchdeck_core.ids import Address
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.settings import BoxSettings
 from hitchdeck_platform.settings import (
     PlatformSettings,
@@ -36,7 +36,7 @@
 class Role:
     """A running role: its book of hubs, its tasks, and how it stops as planned."""
 
-    book: HubBook
+    book: KnownHubs
     supervisor: Supervisor
     stop: Callable[[], Awaitable[None]]
 
@@ -135,5 +135,5 @@
     except SettingsError as error:
         logs.warning('settings unchanged', reason=str(error))
         return
-    role.book.reseed(map(Address, about.seeds))
+    role.book.replace_seeds(map(Address, about.seeds))
     logs.info('settings reloaded', seeds=about.seeds)
--- a/packages/daemon/src/hitchdeck_daemon/platform_hub.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_hub.py
@@ -26,7 +26,7 @@
             door.stop()
         await hub.stop()
 
-    return Role(hub.book, hub.supervisor, stop)
+    return Role(hub.known_hubs, hub.supervisor, stop)
 
 
 if __name__ == '__main__':
--- a/packages/edge/src/hitchdeck_edge/hub/documents_client.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents_client.py
@@ -26,7 +26,7 @@
 from hitchdeck_edge.errors import SupersededError, UnavailableError
 from hitchdeck_edge.hub.documents import DocumentsService
 from hitchdeck_edge.hub.machine import pack_document
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.model.document import DocumentVersion
 
 CALL_TIMEOUT_SECONDS = 0.6
@@ -50,12 +50,12 @@
     def __init__(
         self,
         service: DocumentsService,
-        book: HubBook,
+        known_hubs: KnownHubs,
         token: str,
         now: Clock,
     ) -> None:
         self.service = service
-        self.book = book
+        self.known_hubs = known_hubs
         self.token = token
         self.now = now
         self.leader = Address('')
@@ -165,7 +165,11 @@
         """Return the hub that leads as far as known, else any in reach."""
         if self.leader:
             return self.leader
-        return random.choice(sorted(self.book.live)) if self.book.live else None
+        return (
+            random.choice(sorted(self.known_hubs.reachable))
+            if self.known_hubs.reachable
+            else None
+        )
 
     async def _call(
         self,
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -10,7 +10,7 @@
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.hub.spread import HubState
 from hitchdeck_edge.links.attend import Attendance, hub_idle, hub_pause
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.intake import take_news
 from hitchdeck_edge.settings import HubSettings
 
@@ -31,7 +31,7 @@
         self.settings = settings
         self.incarnation = secrets.token_hex(4)
 
-    def attendance(self, book: HubBook) -> Attendance:
+    def attendance(self, known_hubs: KnownHubs) -> Attendance:
         """Return how this hub attends the others."""
 
         def accept(address: Address, frame: HubFrame) -> None:
@@ -39,7 +39,9 @@
             if frame.founder:
                 self.state.founder = Address(frame.founder)
             if self.replica is not None:
-                book.learn(Address(one.address) for one in self.replica.members())
+                known_hubs.add_learned(
+                    Address(one.address) for one in self.replica.members()
+                )
 
         return Attendance(
             self.compose,
@@ -50,7 +52,7 @@
             hub_pause,
         )
 
-    def compose(self, hub: Address, home: bool, first: bool) -> BoxFrame:
+    def compose(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
         """Return the next frame for another hub."""
         own = self.state.connected_boxes.reporting_total()
         frame = BoxFrame(
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -41,7 +41,7 @@
 from hitchdeck_edge.hub.replica import group_folder, open_replica
 from hitchdeck_edge.hub.spread import HubState, SpreadService, new_state
 from hitchdeck_edge.links.attend import Attendant
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.model.document import Document
 from hitchdeck_edge.settings import HubSettings
 
@@ -64,7 +64,7 @@
 
     settings: HubSettings
     state: HubState
-    book: HubBook
+    known_hubs: KnownHubs
     documents: DocumentsClient
     orders: DomainOrders
     liveness: Liveness
@@ -163,14 +163,14 @@
     state = new_state(settings, read)
     replica = open_replica(settings, state.documents, state.evacuations)
     state_files = _state_files(settings, state)
-    book = _book(settings)
+    known_hubs = _new_known_hubs(settings)
     member = GroupMember(replica, settings.voters_needed)
     service = DocumentsService(member, state.documents)
-    client = DocumentsClient(service, book, settings.fleet_token, boot_seconds)
+    client = DocumentsClient(service, known_hubs, settings.fleet_token, boot_seconds)
     hub = Hub(
         settings=settings,
         state=state,
-        book=book,
+        known_hubs=known_hubs,
         documents=client,
         orders=DomainOrders(client, state.evacuations, settings.areas),
         liveness=Liveness(state.registry, boot_seconds, settings.report_period),
@@ -187,7 +187,7 @@
         links=_links(settings, replica),
     )
     await _listen(hub, service)
-    _start_tasks(hub, book)
+    _start_tasks(hub, known_hubs)
     for file in state_files:
         hub.supervisor.permanent(f'file {file.path.name}', file.run)
     logs.info('hub listens', address=settings.listen, durable=replica is not None)
@@ -200,11 +200,11 @@
     return Links(settings.fleet_token, timeout, own_delay)
 
 
-def _book(settings: HubSettings) -> HubBook:
+def _new_known_hubs(settings: HubSettings) -> KnownHubs:
     seeds = map(Address, settings.seeds)
-    book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    book.own = Address(settings.listen)
-    return book
+    known_hubs = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    known_hubs.own = Address(settings.listen)
+    return known_hubs
 
 
 def _state_files(settings: HubSettings, state: HubState) -> list[StateFile]:
@@ -234,10 +234,12 @@
     hub.servers.append(server)
 
 
-def _start_tasks(hub: Hub, book: HubBook) -> None:
+def _start_tasks(hub: Hub, known_hubs: KnownHubs) -> None:
     supervisor = hub.supervisor
     peer = HubPeer(hub.state, hub.liveness, hub.replica, hub.settings)
-    attendant = Attendant(book, peer.attendance(book), hub.settings.fleet_token)
+    attendant = Attendant(
+        known_hubs, peer.attendance(known_hubs), hub.settings.fleet_token
+    )
     supervisor.permanent('hubs', attendant.run)
     supervisor.permanent('liveness', hub.liveness.run)
     supervisor.permanent('shares', hub.placing.scheduler.run)
--- a/packages/edge/src/hitchdeck_edge/links/attend.py
+++ b/packages/edge/src/hitchdeck_edge/links/attend.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.supervisor import Supervisor, Work
 from hitchdeck_core.wire.spread_grpc import SpreadStub
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 
 SILENT_FRAMES = 3
 """Idle frames that must be missing before a link counts as cut."""
@@ -76,8 +76,10 @@
 class Attendant:
     """Keeps a stream to every hub that is known."""
 
-    def __init__(self, book: HubBook, attendance: Attendance, token: str) -> None:
-        self.book = book
+    def __init__(
+        self, known_hubs: KnownHubs, attendance: Attendance, token: str
+    ) -> None:
+        self.known_hubs = known_hubs
         self.attendance = attendance
         self.token = token
         self.tasks = Supervisor('hubs')
@@ -87,12 +89,12 @@
         try:
             while True:
                 self._adjust()
-                await self.book.changed.wait(1)
+                await self.known_hubs.changed.wait(1)
         finally:
             await self.tasks.stop()
 
     def _adjust(self) -> None:
-        wanted = set(self.book.addresses())
+        wanted = set(self.known_hubs.addresses())
         for gone in set(self.tasks.tasks) - wanted:
             self.tasks.cancel(gone)
         for address in wanted - set(self.tasks.tasks):
@@ -116,10 +118,10 @@
 
     def _lose(self, address: Address, error: Exception) -> float:
         """Note a failure; return the pause after it, 0 if it is not the first."""
-        was_live = self.book.is_live(address)
+        was_live = self.known_hubs.is_reachable(address)
         if was_live:
             logs.warning('hub lost', hub=address, reason=repr(error))
-        self.book.lose(address)
+        self.known_hubs.mark_unreachable(address)
         self.attendance.lost(address)
         return FIRST_RETRY_SECONDS if was_live else 0
 
@@ -136,43 +138,49 @@
 
     async def _receive(self, address: Address, stream: Channels) -> None:
         while True:
-            near = self.book.is_near(address)
-            async with asyncio.timeout(SILENT_FRAMES * self.attendance.idle(near)):
+            same_domain = self.known_hubs.is_same_domain(address)
+            async with asyncio.timeout(
+                SILENT_FRAMES * self.attendance.idle(same_domain)
+            ):
                 frame = await stream.recv_message()
             if frame is None:
                 raise LinkError('the hub ended the stream')
             if frame.domain:
-                self.book.introduce(address, frame.domain, durable=frame.durable)
-            if not self.book.is_live(address):
+                self.known_hubs.set_properties(
+                    address, frame.domain, durable=frame.durable
+                )
+            if not self.known_hubs.is_reachable(address):
                 logs.info('hub reached', hub=address)
-                self.book.reach(address)
-            self.book.learn(Address(one) for one in frame.hubs)
+                self.known_hubs.mark_reachable(address)
+            self.known_hubs.add_learned(Address(one) for one in frame.hubs)
             self.attendance.accept(address, frame)
 
     async def _send(self, address: Address, stream: Channels) -> None:
         while True:
-            home = self.book.home() == address
-            pause = self.attendance.pause(self.book.is_near(address), home)
+            is_report_hub = self.known_hubs.report_hub() == address
+            pause = self.attendance.pause(
+                self.known_hubs.is_same_domain(address), is_report_hub
+            )
             await self.attendance.urgent.wait(pause)
-            frame = self.attendance.compose(address, home, False)
+            frame = self.attendance.compose(address, is_report_hub, False)
             await stream.send_message(frame)
 
 
-def box_idle(near: bool) -> float:
+def box_idle(same_domain: bool) -> float:
     """Return the time between idle frames of an entry box and a hub, in seconds."""
-    return IDLE_SECONDS if near else FAR_IDLE_SECONDS
+    return IDLE_SECONDS if same_domain else FAR_IDLE_SECONDS
 
 
-def box_pause(near: bool, home: bool) -> float:
+def box_pause(same_domain: bool, is_report_hub: bool) -> float:
     """Return the pause of an entry box, in seconds."""
-    return REPORT_SECONDS if home else box_idle(near)
+    return REPORT_SECONDS if is_report_hub else box_idle(same_domain)
 
 
-def hub_idle(near: bool) -> float:
+def hub_idle(same_domain: bool) -> float:
     """Return the time between idle frames of two hubs, in seconds."""
     return IDLE_SECONDS
 
 
-def hub_pause(near: bool, home: bool) -> float:
+def hub_pause(same_domain: bool, is_report_hub: bool) -> float:
     """Return the pause of a hub, which passes reports on to every other."""
     return RELAY_SECONDS
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -10,7 +10,7 @@
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.attend import Attendance, box_idle, box_pause
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.intake import take_news
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
@@ -44,35 +44,37 @@
         self.told: dict[Address, Told] = {}
         self.told_changes: dict[Address, int] = {}
         self.incarnation = secrets.token_hex(4)
-        self.home: Address | None = None
+        self.report_hub: Address | None = None
         self.heard = -math.inf
         self._count_alone()
 
-    def attendance(self, book: HubBook) -> Attendance:
+    def attendance(self, known_hubs: KnownHubs) -> Attendance:
         """Return how this box attends the hubs."""
 
         def accept(address: Address, frame: HubFrame) -> None:
-            self._accept(address, frame, is_home=book.home() == address)
+            self._accept(
+                address, frame, is_report_hub=known_hubs.report_hub() == address
+            )
 
         return Attendance(
             self.compose, accept, self.lose, self.urgent, box_idle, box_pause
         )
 
-    def compose(self, hub: Address, home: bool, first: bool) -> BoxFrame:
+    def compose(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
         """Return the next frame for a hub."""
         self._forget_others()
         frame = BoxFrame(
             version=self.known.documents.version,
             evacuations=self.known.evacuations.edition,
             ready=self.ready,
-            wants_reports=home,
+            wants_reports=is_report_hub,
             busy_percent=round(PERCENT * busy_part()),
         )
         if first:
             frame.hello.CopyFrom(self._hello())
             self.told.pop(hub, None)
             self.told_changes.pop(hub, None)
-        if home:
+        if is_report_hub:
             self._report(frame)
         self._tell_news(hub, frame)
         self._tell_suspicions(hub, frame)
@@ -80,8 +82,8 @@
 
     def lose(self, hub: Address) -> None:
         """Go by what was last heard for a while, then by this box's own books."""
-        if hub == self.home:
-            self.home = None
+        if hub == self.report_hub:
+            self.report_hub = None
         self._forget_others()
 
     def announce(self, *, ready: bool) -> None:
@@ -90,13 +92,13 @@
             self.ready = ready
             self.urgent.notify()
 
-    def _accept(self, hub: Address, frame: HubFrame, *, is_home: bool) -> None:
+    def _accept(self, hub: Address, frame: HubFrame, *, is_report_hub: bool) -> None:
         known = self.known
         take_news(hub, frame, known)
         self.targets.offer(frame.relief)
-        if not is_home:
+        if not is_report_hub:
             return
-        self.home = hub
+        self.report_hub = hub
         self.heard = self.known.books.now()
         if frame.boxes:
             self.budget.boxes = int(frame.boxes)
--- a/packages/edge/src/hitchdeck_edge/links/hubs.py
+++ b/packages/edge/src/hitchdeck_edge/links/hubs.py
@@ -7,22 +7,22 @@
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.signals import Signal
 
-NAMED_SECONDS = 60.0
+LEARNED_HUB_TTL_SECONDS = 60.0
 """How long a hub is tried that no other hub names any more: longer than any
 outage after which it may come back at its address."""
 
 
-FIRST_DISTRUST_SECONDS = 1.0
+FIRST_EXCLUSION_SECONDS = 1.0
 """After a first loss: about as long as the restart of a hub takes."""
 
-DISTRUST_SECONDS = 8.0
+REPEAT_EXCLUSION_SECONDS = 8.0
 """After another loss soon after: links lose packets for some seconds."""
 
 
-class HubBook:
+class KnownHubs:
     """Addresses of hubs: those from the settings and those learned.
 
-    ``near`` holds the hubs of the box's own failure domain, as far as known,
+    ``same_domain`` holds the hubs of the box's own failure domain, as far as known,
     and ``own`` is this process's address if it is a hub itself.
     """
 
@@ -39,28 +39,28 @@
         self.own: Address | None = None
         self.seeds = set(seeds)
         self.learned: dict[Address, float] = {}
-        self.live: set[Address] = set()
-        self.near: set[Address] = set()
+        self.reachable: set[Address] = set()
+        self.same_domain: set[Address] = set()
         self.durable: set[Address] = set()
-        self.distrusted: dict[Address, float] = {}
+        self.excluded_until: dict[Address, float] = {}
         self.changed = Signal()
 
     def addresses(self) -> list[Address]:
         """Return every hub to attend, without this process itself."""
         return sorted((self.seeds | set(self.learned)) - {self.own})
 
-    def is_live(self, address: Address) -> bool:
+    def is_reachable(self, address: Address) -> bool:
         """Tell whether a hub answers."""
-        return address in self.live
+        return address in self.reachable
 
-    def is_near(self, address: Address) -> bool:
+    def is_same_domain(self, address: Address) -> bool:
         """Tell whether a hub is of the box's own failure domain, as far as known."""
-        return address in self.near
+        return address in self.same_domain
 
-    def introduce(self, address: Address, domain: str, *, durable: bool) -> None:
+    def set_properties(self, address: Address, domain: str, *, durable: bool) -> None:
         """Note a hub's failure domain, and whether it has a disk."""
         if domain == self.domain:
-            self.near.add(address)
+            self.same_domain.add(address)
         if durable:
             self.durable.add(address)
 
@@ -69,62 +69,65 @@
 
         Hubs with a disk go first: theirs are the larger boxes.
         """
-        trusted = {one for one in self.live if not self._is_distrusted(one)}
-        candidates = trusted & self.durable or trusted or self.live
+        eligible = {one for one in self.reachable if not self._is_excluded(one)}
+        candidates = eligible & self.durable or eligible or self.reachable
         if not candidates:
             return None
         return Address(ranked('scheduler', candidates)[0])
 
-    def distrust(self, address: Address) -> None:
+    def exclude_scheduler(self, address: Address) -> None:
         """Let another hub schedule for a while, after this one was lost.
 
         The first loss may be its restart; over a link that loses packets it
         would be lost again and again, so each further one counts for longer.
         """
-        until = self.distrusted.get(address, 0)
-        again = self.now() - until < DISTRUST_SECONDS
-        pause = DISTRUST_SECONDS if again else FIRST_DISTRUST_SECONDS
-        self.distrusted[address] = self.now() + pause
+        until = self.excluded_until.get(address, 0)
+        again = self.now() - until < REPEAT_EXCLUSION_SECONDS
+        pause = REPEAT_EXCLUSION_SECONDS if again else FIRST_EXCLUSION_SECONDS
+        self.excluded_until[address] = self.now() + pause
 
-    def reach(self, address: Address) -> None:
+    def mark_reachable(self, address: Address) -> None:
         """Note that a hub answers."""
-        self.live.add(address)
+        self.reachable.add(address)
         self.changed.notify()
 
-    def lose(self, address: Address) -> None:
+    def mark_unreachable(self, address: Address) -> None:
         """Note that a hub does not answer.
 
         When it does again it is as good as new: boxes that had lost it once
         and those that had lost it twice must agree on one scheduler.
         """
-        self.live.discard(address)
-        self.distrusted.pop(address, None)
+        self.reachable.discard(address)
+        self.excluded_until.pop(address, None)
 
-    def learn(self, addresses: Iterable[Address]) -> None:
+    def add_learned(self, addresses: Iterable[Address]) -> None:
         """Add hubs that another hub named, drop those not named for long."""
         known = set(self.learned)
         now = self.now()
         self.learned.update((address, now) for address in addresses)
         for address, named_at in list(self.learned.items()):
-            if now - named_at > NAMED_SECONDS and address not in self.live:
+            if (
+                now - named_at > LEARNED_HUB_TTL_SECONDS
+                and address not in self.reachable
+            ):
                 self.learned.pop(address)
         if known != set(self.learned):
             self.changed.notify()
 
-    def reseed(self, seeds: Iterable[Address]) -> None:
+    def replace_seeds(self, seeds: Iterable[Address]) -> None:
         """Take new seeds from changed settings."""
         self.seeds = set(seeds)
         self.changed.notify()
 
-    def home(self) -> Address | None:
+    def report_hub(self) -> Address | None:
         """Return the hub that gets this box's reports: near, then any.
 
         Boxes spread over the hubs of their domain by hash.
         """
-        candidates = self.live & self.near or self.live
+        candidates = self.reachable & self.same_domain or self.reachable
         if not candidates:
             return None
         return Address(ranked(self.box, candidates)[0])
 
-    def _is_distrusted(self, address: Address) -> bool:
-        return self.distrusted.get(address, 0) > self.now()
+    def _is_excluded(self, address: Address) -> bool:
+        return self.excluded_until.get(address, 0) > self.now()
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -20,7 +20,7 @@
 )
 from hitchdeck_edge.errors import SchedulerMovedError
 from hitchdeck_edge.links.attend import CONNECT_SECONDS, LINK_ERRORS
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.outbox import Outbox
 from hitchdeck_edge.links.placing_messages import (
     decode_choice,
@@ -77,13 +77,13 @@
     def __init__(
         self,
         box: str,
-        book: HubBook,
+        known_hubs: KnownHubs,
         registry: Registry,
         token: str,
         shares: Shares,
     ) -> None:
         self.box = box
-        self.book = book
+        self.known_hubs = known_hubs
         self.registry = registry
         self.token = token
         self.shares = shares
@@ -156,9 +156,9 @@
     async def run(self) -> None:
         """Keep a stream to the scheduler; for ever."""
         while True:
-            hub = self.book.scheduler()
+            hub = self.known_hubs.scheduler()
             if hub is None or not await self._keep_attending(hub):
-                await self.book.changed.wait(RETRY_SECONDS)
+                await self.known_hubs.changed.wait(RETRY_SECONDS)
 
     async def _wait_for(self, answer: asyncio.Future[Placed]) -> None:
         """Wait for an answer, and once more if this box itself was late.
@@ -182,7 +182,7 @@
             return True
         except LINK_ERRORS as error:
             logs.warning('scheduler lost', hub=hub, reason=repr(error))
-            self.book.distrust(hub)
+            self.known_hubs.exclude_scheduler(hub)
         finally:
             self._lose()
             channel.close()
@@ -220,7 +220,7 @@
         raise LinkError(f'stream ended, {self.unanswered} answers missing')
 
     def _check_scheduler(self, hub: Address) -> None:
-        if self.book.scheduler() != hub:
+        if self.known_hubs.scheduler() != hub:
             # To leave a stream without an error waits for the hub's last
             # word, and a hub that is gone has none.
             raise SchedulerMovedError(hub)
@@ -255,7 +255,7 @@
         self.unanswered = 0
         return PlacingFrame(
             box=self.box,
-            domain=self.book.domain,
+            domain=self.known_hubs.domain,
             open=list(self.open.values()),
             demands=self.shares.demands(),
         )
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.links.attend import Attendant
 from hitchdeck_edge.links.entry import EntryLink
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.scheduling.chooser import Chooser
@@ -48,7 +48,7 @@
 
     settings: EntrySettings
     link: EntryLink
-    book: HubBook
+    book: KnownHubs
     admission: Admission
     door: FrontDoor
     stopping: Stopping
@@ -117,7 +117,7 @@
     """Start an entry box that speaks a platform's dialect."""
     knowledge = new_knowledge(settings, dialect)
     seeds = map(Address, settings.seeds)
-    book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    book = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
     dispatcher = _dispatcher(settings, dialect, knowledge, book)
     stopping = Stopping(settings.stop_grace, boot_seconds)
     admission = Admission(dialect, knowledge, dispatcher, stopping, boot_seconds)
@@ -145,7 +145,7 @@
     settings: EntrySettings,
     dialect: Dialect,
     knowledge: Knowledge,
-    book: HubBook,
+    book: KnownHubs,
 ) -> Dispatcher:
     budget = RepeatBudget(
         settings.retry_share,
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -327,12 +327,14 @@
     told = []
     for hub in site.hubs:
         figures = ', '.join(hub.metrics_text().replace('hitchdeck_', '').splitlines())
-        told.append(f'{hub.settings.box}: live {sorted(hub.book.live)}, {figures}')
+        told.append(
+            f'{hub.settings.box}: live {sorted(hub.known_hubs.reachable)}, {figures}'
+        )
     for box in site.boxes:
         known = box.link.known
         names = sorted(known.registry.names())
         told.append(
-            f'{box.settings.box}: hubs {sorted(box.book.live)}, '
+            f'{box.settings.box}: hubs {sorted(box.book.reachable)}, '
             f'document {known.documents.version}, upstreams {names}',
         )
     return '; '.join(told)
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.wire.spread_pb2 import HubFrame, Load
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
@@ -48,8 +48,8 @@
         RepeatBudget(0.2, 50, 10, clock),
         ReliefTargets(clock),
     )
-    book = HubBook('box', 'a', [HUB], clock)
-    book.reach(HUB)
+    book = KnownHubs('box', 'a', [HUB], clock)
+    book.mark_reachable(HUB)
     others = [Load(upstream=ENGINE, running=TOGETHER - OWN)]
     link.attendance(book).accept(HUB, HubFrame(boxes=BOXES, loads=others))
     return link
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.dispatch.answers import end_to_end
 from hitchdeck_edge.dispatch.budget import CAUTION, RepeatBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
+from hitchdeck_edge.links.hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
 from hitchdeck_edge.serving.gauges import UNKNOWN_SECONDS, WATCHED_SECONDS, Gauges
@@ -140,11 +140,11 @@
 
 def test_hubs_that_nobody_names_are_tried_no_more() -> None:
     clock = FakeClock()
-    book = HubBook(BoxName('box'), 'a', [Address('s:1')], clock)
-    book.learn([Address('h:1')])
+    book = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
+    book.add_learned([Address('h:1')])
     assert book.addresses() == ['h:1', 's:1']
-    clock.seconds += NAMED_SECONDS + 1
-    book.learn([])
+    clock.seconds += LEARNED_HUB_TTL_SECONDS + 1
+    book.add_learned([])
     assert book.addresses() == ['s:1']
 
 
@@ -159,7 +159,7 @@
 
 def test_nothing_is_kept_for_a_scheduler_that_is_not_there() -> None:
     scheduler = scheduler_of(FakeClock(), 1)
-    book = HubBook(BoxName('box'), 'a', [], FakeClock())
+    book = KnownHubs(BoxName('box'), 'a', [], FakeClock())
     registry = scheduler.placement.registry
     link = PlacingLink('box', book, registry, 'token', scheduler.shares)
     for _ in range(50):
@@ -180,17 +180,17 @@
     """
     clock = FakeClock()
     seeds = [Address('h1:1'), Address('h2:1')]
-    book = HubBook(BoxName('box'), 'a', seeds, clock)
+    book = KnownHubs(BoxName('box'), 'a', seeds, clock)
     for address in seeds:
-        book.reach(address)
+        book.mark_reachable(address)
     first = book.scheduler()
     assert first is not None
     for _ in range(2):
-        book.distrust(first)
+        book.exclude_scheduler(first)
         clock.seconds += 0.5
     assert book.scheduler() != first
-    book.lose(first)
-    book.reach(first)
+    book.mark_unreachable(first)
+    book.mark_reachable(first)
     assert book.scheduler() == first
 
 
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.placing import FleetSize, PlacingService
 from hitchdeck_edge.links import placing
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.shares import Shares
@@ -49,8 +49,8 @@
 @asynccontextmanager
 async def running_link(hub: Address) -> AsyncIterator[PlacingLink]:
     """Run a link to the only hub that is known."""
-    book = HubBook(BoxName('box'), 'a', [hub], boot_seconds)
-    book.reach(hub)
+    book = KnownHubs(BoxName('box'), 'a', [hub], boot_seconds)
+    book.mark_reachable(hub)
     registry = Registry(boot_seconds, Signal())
     link = PlacingLink('box', book, registry, 'token', Shares(4, boot_seconds))
     task = asyncio.create_task(link.run())
@@ -77,7 +77,7 @@
     # the call to leave the stream waited for the hub's first word.
     async with silent_hub(serving) as hub, running_link(hub) as link:
         await reached(link, connected=True)
-        link.book.lose(hub)
+        link.known_hubs.mark_unreachable(hub)
         await reached(link, connected=False)
         assert link.scheduler is None
 
@@ -113,7 +113,7 @@
         running_link(first) as link,
     ):
         await reached(link, connected=True)
-        link.book.live = {second}
+        link.known_hubs.reachable = {second}
         async with asyncio.timeout(15):
             while link.scheduler != second:
                 await asyncio.sleep(0.01)
