--- a/packages/edge/src/hitchdeck_edge/hub/attendees.py
+++ b/packages/edge/src/hitchdeck_edge/hub/attendees.py
@@ -10,7 +10,11 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
-from hitchdeck_edge.links.attend import SILENT_FRAMES, box_idle, hub_idle
+from hitchdeck_edge.links.attend import (
+    MAX_MISSED_FRAMES,
+    box_idle_interval,
+    hub_idle_interval,
+)
 from hitchdeck_edge.state.tallies import Tally, tally_of, total_of
 
 TOTAL_CACHE_SECONDS = 0.1
@@ -93,9 +97,9 @@
         """Return the seconds between idle frames of a box or hub and this hub."""
         same_domain = connected_box.hello.domain == self.domain
         return (
-            hub_idle(same_domain)
+            hub_idle_interval(same_domain)
             if connected_box.hello.hub_address
-            else box_idle(same_domain)
+            else box_idle_interval(same_domain)
         )
 
     def gets_updates_at_once(self, connected_box: ConnectedBox) -> bool:
@@ -177,7 +181,7 @@
         return [
             one
             for one in known.values()
-            if now - one.last_frame <= SILENT_FRAMES * self.idle_interval(one)
+            if now - one.last_frame <= MAX_MISSED_FRAMES * self.idle_interval(one)
         ]
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -9,9 +9,13 @@
 from hitchdeck_edge.hub import formation
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.hub.spread import HubState
-from hitchdeck_edge.links.attend import Attendance, hub_idle, hub_pause
+from hitchdeck_edge.links.attend import (
+    StreamHandlers,
+    hub_idle_interval,
+    hub_send_interval,
+)
 from hitchdeck_edge.links.hubs import KnownHubs
-from hitchdeck_edge.links.intake import take_news
+from hitchdeck_edge.links.intake import apply_hub_frame
 from hitchdeck_edge.settings import HubSettings
 
 
@@ -31,11 +35,11 @@
         self.settings = settings
         self.incarnation = secrets.token_hex(4)
 
-    def attendance(self, known_hubs: KnownHubs) -> Attendance:
+    def stream_handlers(self, known_hubs: KnownHubs) -> StreamHandlers:
         """Return how this hub attends the others."""
 
-        def accept(address: Address, frame: HubFrame) -> None:
-            take_news(address, frame, self.state)
+        def on_frame(address: Address, frame: HubFrame) -> None:
+            apply_hub_frame(address, frame, self.state)
             if frame.founder:
                 self.state.founder = Address(frame.founder)
             if self.replica is not None:
@@ -43,16 +47,16 @@
                     Address(one.address) for one in self.replica.members()
                 )
 
-        return Attendance(
-            self.compose,
-            accept,
-            self.forget,
+        return StreamHandlers(
+            self.next_frame,
+            on_frame,
+            self.on_loss,
             self.state.changed,
-            hub_idle,
-            hub_pause,
+            hub_idle_interval,
+            hub_send_interval,
         )
 
-    def compose(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
+    def next_frame(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
         """Return the next frame for another hub."""
         own = self.state.connected_boxes.reporting_total()
         frame = BoxFrame(
@@ -67,7 +71,7 @@
             frame.hello.CopyFrom(self._hello())
         return frame
 
-    def forget(self, hub: Address) -> None:
+    def on_loss(self, hub: Address) -> None:
         """Note that a hub is lost; it is told everything when it is back."""
         self.liveness.last_sent.pop(hub, None)
 
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -40,7 +40,7 @@
 from hitchdeck_edge.hub.placing import PlacingService, placing_service
 from hitchdeck_edge.hub.replica import group_folder, open_replica
 from hitchdeck_edge.hub.spread import HubState, SpreadService, new_state
-from hitchdeck_edge.links.attend import Attendant
+from hitchdeck_edge.links.attend import HubStreams
 from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.model.document import Document
 from hitchdeck_edge.settings import HubSettings
@@ -237,10 +237,10 @@
 def _start_tasks(hub: Hub, known_hubs: KnownHubs) -> None:
     supervisor = hub.supervisor
     peer = HubPeer(hub.state, hub.liveness, hub.replica, hub.settings)
-    attendant = Attendant(
-        known_hubs, peer.attendance(known_hubs), hub.settings.fleet_token
+    streams = HubStreams(
+        known_hubs, peer.stream_handlers(known_hubs), hub.settings.fleet_token
     )
-    supervisor.permanent('hubs', attendant.run)
+    supervisor.permanent('hubs', streams.run)
     supervisor.permanent('liveness', hub.liveness.run)
     supervisor.permanent('shares', hub.placing.scheduler.run)
     first = hub.settings.may_found and hub.settings.seeds[:1] == (hub.settings.listen,)
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.wire.spread_grpc import SpreadBase
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
 from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
-from hitchdeck_edge.links.attend import REPORT_SECONDS
+from hitchdeck_edge.links.attend import REPORT_INTERVAL_SECONDS
 from hitchdeck_edge.links.records import decode_suspicion, encode_upstream
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.documents import Documents, ReadDocument
@@ -146,7 +146,7 @@
 
     def _send_interval(self, connected_box: ConnectedBox) -> float:
         if connected_box.reports_to_this_hub:
-            return REPORT_SECONDS
+            return REPORT_INTERVAL_SECONDS
         return self.state.connected_boxes.idle_interval(connected_box)
 
     def _next_frame(self, connected_box: ConnectedBox, sent: _Sent) -> HubFrame:
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -9,16 +9,20 @@
 from hitchdeck_core.quarantine.quarantine import NOTHING, Told
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
 from hitchdeck_edge.dispatch.budget import RepeatBudget
-from hitchdeck_edge.links.attend import Attendance, box_idle, box_pause
+from hitchdeck_edge.links.attend import (
+    StreamHandlers,
+    box_idle_interval,
+    box_send_interval,
+)
 from hitchdeck_edge.links.hubs import KnownHubs
-from hitchdeck_edge.links.intake import take_news
+from hitchdeck_edge.links.intake import apply_hub_frame
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.knowledge import Knowledge
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_edge.state.tallies import Tally, tally_of
 
-DIGEST_SECONDS = 5.0
+DIGEST_TTL_SECONDS = 5.0
 """How long a box goes by the last sum of what the others have open, when no hub
 passes it on.  Taking the others to do as itself, the only box in reach of a
 flooded domain expected 24 times its own queue and refused 74 of 100 requests
@@ -40,29 +44,34 @@
         self.budget = budget
         self.targets = targets
         self.ready = False
-        self.urgent = known.quarantine.changed
-        self.told: dict[Address, Told] = {}
-        self.told_changes: dict[Address, int] = {}
+        self.wake = known.quarantine.changed
+        self.sent_positions: dict[Address, Told] = {}
+        self.sent_changes: dict[Address, int] = {}
         self.incarnation = secrets.token_hex(4)
         self.report_hub: Address | None = None
-        self.heard = -math.inf
-        self._count_alone()
+        self.digest_at = -math.inf
+        self._assume_others_alike()
 
-    def attendance(self, known_hubs: KnownHubs) -> Attendance:
+    def stream_handlers(self, known_hubs: KnownHubs) -> StreamHandlers:
         """Return how this box attends the hubs."""
 
-        def accept(address: Address, frame: HubFrame) -> None:
-            self._accept(
+        def on_frame(address: Address, frame: HubFrame) -> None:
+            self._apply_frame(
                 address, frame, is_report_hub=known_hubs.report_hub() == address
             )
 
-        return Attendance(
-            self.compose, accept, self.lose, self.urgent, box_idle, box_pause
+        return StreamHandlers(
+            self.next_frame,
+            on_frame,
+            self.on_loss,
+            self.wake,
+            box_idle_interval,
+            box_send_interval,
         )
 
-    def compose(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
+    def next_frame(self, hub: Address, is_report_hub: bool, first: bool) -> BoxFrame:
         """Return the next frame for a hub."""
-        self._forget_others()
+        self._expire_digest()
         frame = BoxFrame(
             version=self.known.documents.version,
             evacuations=self.known.evacuations.edition,
@@ -72,52 +81,54 @@
         )
         if first:
             frame.hello.CopyFrom(self._hello())
-            self.told.pop(hub, None)
-            self.told_changes.pop(hub, None)
+            self.sent_positions.pop(hub, None)
+            self.sent_changes.pop(hub, None)
         if is_report_hub:
-            self._report(frame)
-        self._tell_news(hub, frame)
-        self._tell_suspicions(hub, frame)
+            self._add_report(frame)
+        self._add_quarantine(hub, frame)
+        self._add_suspicions(hub, frame)
         return frame
 
-    def lose(self, hub: Address) -> None:
+    def on_loss(self, hub: Address) -> None:
         """Go by what was last heard for a while, then by this box's own books."""
         if hub == self.report_hub:
             self.report_hub = None
-        self._forget_others()
+        self._expire_digest()
 
     def announce(self, *, ready: bool) -> None:
         """Tell every hub at once whether callers may be sent here."""
         if ready != self.ready:
             self.ready = ready
-            self.urgent.notify()
+            self.wake.notify()
 
-    def _accept(self, hub: Address, frame: HubFrame, *, is_report_hub: bool) -> None:
+    def _apply_frame(
+        self, hub: Address, frame: HubFrame, *, is_report_hub: bool
+    ) -> None:
         known = self.known
-        take_news(hub, frame, known)
+        apply_hub_frame(hub, frame, known)
         self.targets.offer(frame.relief)
         if not is_report_hub:
             return
         self.report_hub = hub
-        self.heard = self.known.books.now()
+        self.digest_at = self.known.books.now()
         if frame.boxes:
             self.budget.boxes = int(frame.boxes)
-        self._count_others(tally_of(frame), alike=1)
+        self._set_others(tally_of(frame), alike=1)
 
-    def _forget_others(self) -> None:
+    def _expire_digest(self) -> None:
         """Stop to count on what the others had open too long ago."""
-        if self.known.books.now() - self.heard > DIGEST_SECONDS:
-            self._count_alone()
+        if self.known.books.now() - self.digest_at > DIGEST_TTL_SECONDS:
+            self._assume_others_alike()
 
-    def _count_alone(self) -> None:
+    def _assume_others_alike(self) -> None:
         """Take the other boxes to do as this one, while nothing tells.
 
         Otherwise each box would take all engines for its own: after a restart
         a quarter of what boxes placed by themselves began late.
         """
-        self._count_others(Tally(), alike=max(1, self.budget.boxes))
+        self._set_others(Tally(), alike=max(1, self.budget.boxes))
 
-    def _count_others(self, tally: Tally, *, alike: int) -> None:
+    def _set_others(self, tally: Tally, *, alike: int) -> None:
         books = self.known.books
         shares = self.known.scheduler.shares
         books.others = tally
@@ -125,28 +136,28 @@
         books.alike = alike
         shares.alike = alike
 
-    def _tell_news(self, hub: Address, frame: BoxFrame) -> None:
+    def _add_quarantine(self, hub: Address, frame: BoxFrame) -> None:
         """Add what a hub lacks of the ends and verdicts that this box knows."""
         quarantine = self.known.quarantine
-        told = self.told.get(hub, NOTHING)
-        news, self.told[hub] = quarantine.news_since(told)
+        position = self.sent_positions.get(hub, NOTHING)
+        news, self.sent_positions[hub] = quarantine.news_since(position)
         if news.casualties or news.verdicts:
             frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
 
-    def _tell_suspicions(self, hub: Address, frame: BoxFrame) -> None:
+    def _add_suspicions(self, hub: Address, frame: BoxFrame) -> None:
         """Add the suspected crashes that a hub may be able to clear.
 
         The hub that raised one may be cut off from the one that gets the reports.
         """
         registry = self.known.registry
-        told = self.told_changes.get(hub, 0)
-        if registry.changes == told:
+        last_change = self.sent_changes.get(hub, 0)
+        if registry.changes == last_change:
             return
-        self.told_changes[hub] = registry.changes
-        fresh = registry.suspicions_since(told)
+        self.sent_changes[hub] = registry.changes
+        fresh = registry.suspicions_since(last_change)
         frame.suspicions.extend(encode_suspicion(one) for one in fresh)
 
-    def _report(self, frame: BoxFrame) -> None:
+    def _add_report(self, frame: BoxFrame) -> None:
         frame.loads.extend(self.known.books.own.loads())
         frame.demands.extend(self.known.scheduler.shares.demands())
 
--- a/packages/edge/src/hitchdeck_edge/links/intake.py
+++ b/packages/edge/src/hitchdeck_edge/links/intake.py
@@ -13,7 +13,7 @@
 from hitchdeck_edge.state.registry import Registry
 
 
-class Shared(Protocol):
+class SharedState(Protocol):
     """What hubs and boxes alike know of the fleet."""
 
     @property
@@ -33,7 +33,7 @@
         """Return the verdicts on contents."""
 
 
-def take_news(hub: Address, frame: HubFrame, known: Shared) -> None:
+def apply_hub_frame(hub: Address, frame: HubFrame, known: SharedState) -> None:
     """Take newer documents, orders, upstreams and verdicts from a hub's frame."""
     if frame.HasField('document'):
         version = DocumentVersion(int(frame.document.version))
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -19,7 +19,7 @@
     PlacingFrame,
 )
 from hitchdeck_edge.errors import SchedulerMovedError
-from hitchdeck_edge.links.attend import CONNECT_SECONDS, LINK_ERRORS
+from hitchdeck_edge.links.attend import CONNECT_TIMEOUT_SECONDS, LINK_ERRORS
 from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.outbox import Outbox
 from hitchdeck_edge.links.placing_messages import (
@@ -189,7 +189,7 @@
         return False
 
     async def _attend(self, hub: Address, channel: Channel) -> None:
-        async with asyncio.timeout(CONNECT_SECONDS):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             await channel.__connect__()
         async with PlacingStub(channel).Attend.open() as stream:
             await stream.send_message(self._hello())
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -16,7 +16,7 @@
 from hitchdeck_edge.dispatch.connections import Connections
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.links.attend import Attendant
+from hitchdeck_edge.links.attend import HubStreams
 from hitchdeck_edge.links.entry import EntryLink
 from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
@@ -181,9 +181,9 @@
     if settings.metrics_listen is not None:
         figures = metrics_page(box.admission.gauges.text)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
-    attendance = box.link.attendance(box.book)
-    attendant = Attendant(box.book, attendance, settings.fleet_token)
-    box.supervisor.permanent('hubs', attendant.run)
+    handlers = box.link.stream_handlers(box.book)
+    streams = HubStreams(box.book, handlers, settings.fleet_token)
+    box.supervisor.permanent('hubs', streams.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
     box.supervisor.permanent('upkeep', box.keep_up)
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import HubFrame, Load
 from hitchdeck_edge.dispatch.budget import RepeatBudget
-from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
+from hitchdeck_edge.links.entry import DIGEST_TTL_SECONDS, EntryLink
 from hitchdeck_edge.links.hubs import KnownHubs
 from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.settings import EntrySettings
@@ -51,7 +51,7 @@
     book = KnownHubs('box', 'a', [HUB], clock)
     book.mark_reachable(HUB)
     others = [Load(upstream=ENGINE, running=TOGETHER - OWN)]
-    link.attendance(book).accept(HUB, HubFrame(boxes=BOXES, loads=others))
+    link.stream_handlers(book).on_frame(HUB, HubFrame(boxes=BOXES, loads=others))
     return link
 
 
@@ -59,9 +59,9 @@
     ('seconds', 'running'),
     [
         (0, TOGETHER),
-        (DIGEST_SECONDS - 0.1, TOGETHER),
+        (DIGEST_TTL_SECONDS - 0.1, TOGETHER),
         # Nothing is known of the others any more: they may do as this one does.
-        (DIGEST_SECONDS + 0.1, OWN * BOXES),
+        (DIGEST_TTL_SECONDS + 0.1, OWN * BOXES),
     ],
 )
 def test_a_box_that_lost_its_hub_goes_by_the_last_sum_of_the_others(
@@ -75,5 +75,5 @@
     for _ in range(OWN):
         Ticket(books, ENGINE, 100)
     clock.seconds += seconds
-    link.lose(HUB)
+    link.on_loss(HUB)
     assert books.running(ENGINE) == running
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -368,13 +368,13 @@
 async def test_a_burst_of_news_reaches_a_box_in_few_frames(site: Site) -> None:
     accepted: list[int] = []
     link = site.boxes[0].link
-    take = link._accept
+    take = link._apply_frame
 
-    def counted(hub: Address, frame: HubFrame, *, is_home: bool) -> None:
+    def counted(hub: Address, frame: HubFrame, *, is_report_hub: bool) -> None:
         accepted.append(len(frame.upstreams))
-        take(hub, frame, is_home=is_home)
+        take(hub, frame, is_report_hub=is_report_hub)
 
-    link._accept = counted
+    link._apply_frame = counted
     hub = site.hubs[0]
     loop = asyncio.get_running_loop()
     began = loop.time()
