--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -18,7 +18,7 @@
     NotSentError,
     NotWantedError,
 )
-from hitchdeck_edge.links.placing import SHORT_OF_TIME
+from hitchdeck_edge.links.placing import OVERLOADED_UTILIZATION
 from hitchdeck_edge.model.calls import AnswerMark
 from hitchdeck_edge.model.dialect import Dialect, Forwarding
 from hitchdeck_edge.model.passage import Passage
@@ -123,7 +123,7 @@
 
     def _close_attempt(self, attempt: Attempt, connection: Connection | None) -> None:
         attempt.ticket.close()
-        self.link.end(attempt.number)
+        self.link.record_end(attempt.number)
         if connection is None:
             return
         self.connections.release(attempt.upstream, connection)
@@ -221,8 +221,8 @@
 
     def _note_start(self, passage: Passage, attempt: Attempt) -> None:
         attempt.ticket.start()
-        self.link.start(attempt.number)
-        if busy_part() <= SHORT_OF_TIME:
+        self.link.record_start(attempt.number)
+        if busy_part() <= OVERLOADED_UTILIZATION:
             self.placement.measure(attempt.ticket, passage.wanted(self.domain))
 
     async def _own_head(
@@ -270,7 +270,7 @@
             return
         if attempt.verdict is Verdict.broken:
             health.fail(attempt.upstream, attempt.reason)
-            self.link.fail(attempt.upstream)
+            self.link.report_failure(attempt.upstream)
             self.doubt(service, attempt)
         else:
             health.err(attempt.upstream)
@@ -303,5 +303,5 @@
             reason=str(error),
         )
         self.placement.health.fail(choice.upstream.name, 'not reached')
-        self.link.fail(choice.upstream.name)
+        self.link.report_failure(choice.upstream.name)
         self.connections.drop(choice.upstream.name)
--- a/packages/edge/src/hitchdeck_edge/links/outbox.py
+++ b/packages/edge/src/hitchdeck_edge/links/outbox.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.wire.spread_pb2 import PlacingFrame
 from hitchdeck_core.wire.spread_pb2 import Wanted as WantedMessage
 
-PROGRESS_SECONDS = 0.02
+PROGRESS_DELAY_SECONDS = 0.02
 """Word of progress waits so long for a frame to go with."""
 
 
@@ -26,17 +26,17 @@
         self.due = False
         self.became_due = Signal()
 
-    def ask(self, question: WantedMessage) -> None:
+    def add_query(self, query: WantedMessage) -> None:
         """Send a question at once, and what waits with it."""
-        self.frame.wanted.append(question)
+        self.frame.wanted.append(query)
         self._make_due()
 
-    def tell(self, news: PlacingFrame) -> None:
+    def add_progress(self, progress: PlacingFrame) -> None:
         """Send word with the next frame, a little later at the latest."""
         if not self.frame.ByteSize():
             loop = asyncio.get_running_loop()
-            loop.call_later(PROGRESS_SECONDS, self._make_due)
-        self.frame.MergeFrom(news)
+            loop.call_later(PROGRESS_DELAY_SECONDS, self._make_due)
+        self.frame.MergeFrom(progress)
 
     async def wait(self, seconds: float) -> None:
         """Return when a frame is due, or so many seconds later."""
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -32,34 +32,34 @@
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.registry import Registry
 
-ANSWER_SECONDS = 0.06
+ANSWER_TIMEOUT_SECONDS = 0.06
 """For one answer; a round between failure domains takes some 5 ms, and a
 request that waits longer is better placed by its own box."""
 
-OWN_DELAY_SECONDS = 0.02
+LATE_TIMER_SECONDS = 0.02
 """Lateness of its own timer from which a box is the one that is slow: a box with
 no processor time left took its scheduler for lost and decided alone."""
 
-MOST_WAITS = 3
+MAX_WAITS = 3
 """Waits for one answer at most, of a box that is late itself."""
 
-SHORT_OF_TIME = 0.7
+OVERLOADED_UTILIZATION = 0.7
 """Part of its time that a box works from which what it notes is late.  Boxes
 that had none left taught the fleet's scheduler that engines were slow, and it
 refused the requests of every domain (0.07 to 0.2 of what was owed was earned in
 the ten seconds after a flood of one domain, and 0.33 to 0.8 before it)."""
 
-MOST_UNANSWERED = 3
+MAX_UNANSWERED = 3
 """Answers missing in a row after which the scheduler counts as lost."""
 
-SEND_SECONDS = 0.5
+SEND_TIMEOUT_SECONDS = 0.5
 """For one frame to be taken by the connection: a hub that reads leaves room."""
 
-RETRY_SECONDS = 0.3
+MAX_RETRY_DELAY_SECONDS = 0.3
 """The longest pause before a lost scheduler, or the next one, is tried: it
 ends at once when another hub is reached."""
 
-WATCH_SECONDS = 0.5
+SCHEDULER_CHECK_SECONDS = 0.5
 """Between two looks whether another hub has become the scheduler."""
 
 PlacingStream = Stream[PlacingFrame, PlacedFrame]
@@ -102,9 +102,9 @@
         ticket = self._new_ticket()
         answer = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = answer
-        self.outbox.ask(encode_wanted(ticket, wanted))
+        self.outbox.add_query(encode_wanted(ticket, wanted))
         try:
-            await self._wait_for(answer)
+            await self._wait_for_answer(answer)
         finally:
             self.waiting.pop(ticket, None)
         if not answer.done():
@@ -127,56 +127,56 @@
         work = OpenWork(id=number, upstream=upstream, unread=unread)
         self.open[number] = work
         if not ticket:
-            self._tell(PlacingFrame(open=[work]))
+            self._send_progress(PlacingFrame(open=[work]))
         return number
 
-    def start(self, ticket: int) -> None:
+    def record_start(self, ticket: int) -> None:
         """Note the first event of a request."""
         if ticket in self.open:
             self.open[ticket].unread = 0
-            news = PlacingFrame()
-            late = busy_part() > SHORT_OF_TIME
-            (news.late_started if late else news.started).append(ticket)
-            self._tell(news)
+            progress = PlacingFrame()
+            late = busy_part() > OVERLOADED_UTILIZATION
+            (progress.late_started if late else progress.started).append(ticket)
+            self._send_progress(progress)
 
-    def end(self, ticket: int) -> None:
+    def record_end(self, ticket: int) -> None:
         """Note the end of a request."""
         if self.open.pop(ticket, None) is not None:
-            self._tell_ended(ticket)
+            self._send_ended(ticket)
 
-    def give_back(self, ticket: int) -> None:
+    def release(self, ticket: int) -> None:
         """Note that a request is not sent to where it was placed."""
         if ticket:
-            self._tell_ended(ticket)
+            self._send_ended(ticket)
 
-    def fail(self, upstream: UpstreamName) -> None:
+    def report_failure(self, upstream: UpstreamName) -> None:
         """Note that an upstream broke off or was not reached."""
-        self._tell(PlacingFrame(failed=[upstream]))
+        self._send_progress(PlacingFrame(failed=[upstream]))
 
     async def run(self) -> None:
         """Keep a stream to the scheduler; for ever."""
         while True:
             hub = self.known_hubs.scheduler()
-            if hub is None or not await self._keep_attending(hub):
-                await self.known_hubs.changed.wait(RETRY_SECONDS)
+            if hub is None or not await self._keep_stream(hub):
+                await self.known_hubs.changed.wait(MAX_RETRY_DELAY_SECONDS)
 
-    async def _wait_for(self, answer: asyncio.Future[Placed]) -> None:
+    async def _wait_for_answer(self, answer: asyncio.Future[Placed]) -> None:
         """Wait for an answer, and once more if this box itself was late.
 
         What came meanwhile is read only when the box gets to run.
         """
-        for _ in range(MOST_WAITS):
+        for _ in range(MAX_WAITS):
             asked = self.now()
-            await asyncio.wait((answer,), timeout=ANSWER_SECONDS)
-            late = self.now() - asked - ANSWER_SECONDS
-            if answer.done() or late < OWN_DELAY_SECONDS:
+            await asyncio.wait((answer,), timeout=ANSWER_TIMEOUT_SECONDS)
+            late = self.now() - asked - ANSWER_TIMEOUT_SECONDS
+            if answer.done() or late < LATE_TIMER_SECONDS:
                 return
 
-    async def _keep_attending(self, hub: Address) -> bool:
+    async def _keep_stream(self, hub: Address) -> bool:
         """Attend one scheduler; tell whether another takes its place at once."""
         channel = open_channel(hub, self.token)
         try:
-            await self._attend(hub, channel)
+            await self._run_stream(hub, channel)
         except SchedulerMovedError:
             logs.info('scheduler changes', hub=hub)
             return True
@@ -184,11 +184,11 @@
             logs.warning('scheduler lost', hub=hub, reason=repr(error))
             self.known_hubs.exclude_scheduler(hub)
         finally:
-            self._lose()
+            self._disconnect()
             channel.close()
         return False
 
-    async def _attend(self, hub: Address, channel: Channel) -> None:
+    async def _run_stream(self, hub: Address, channel: Channel) -> None:
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             await channel.__connect__()
         async with PlacingStub(channel).Attend.open() as stream:
@@ -208,14 +208,14 @@
         ended: Callable[[], bool],
     ) -> None:
         checked = self.now()
-        while not ended() and self.unanswered < MOST_UNANSWERED:
-            await self.outbox.wait(WATCH_SECONDS)
-            if self.now() - checked > WATCH_SECONDS:
+        while not ended() and self.unanswered < MAX_UNANSWERED:
+            await self.outbox.wait(SCHEDULER_CHECK_SECONDS)
+            if self.now() - checked > SCHEDULER_CHECK_SECONDS:
                 checked = self.now()
                 self._check_scheduler(hub)
             frame = self.outbox.take()
             if frame is not None:
-                async with asyncio.timeout(SEND_SECONDS):
+                async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
                     await stream.send_message(frame)
         raise LinkError(f'stream ended, {self.unanswered} answers missing')
 
@@ -236,19 +236,19 @@
                     answer.set_result(placed)
                 elif placed.decision == Decision.DECISION_PLACED:
                     # It came too late, and the box has chosen by itself.
-                    self._tell_ended(placed.id)
+                    self._send_ended(placed.id)
 
     def _new_ticket(self) -> int:
         self.last_ticket += 1
         return self.last_ticket
 
-    def _tell(self, news: PlacingFrame) -> None:
+    def _send_progress(self, progress: PlacingFrame) -> None:
         """Send word with the next frame; the next scheduler asks for all."""
         if self.scheduler is not None:
-            self.outbox.tell(news)
+            self.outbox.add_progress(progress)
 
-    def _tell_ended(self, ticket: int) -> None:
-        self._tell(PlacingFrame(ended=[ticket]))
+    def _send_ended(self, ticket: int) -> None:
+        self._send_progress(PlacingFrame(ended=[ticket]))
 
     def _hello(self) -> PlacingFrame:
         self.outbox.clear()
@@ -260,7 +260,7 @@
             demands=self.shares.demands(),
         )
 
-    def _lose(self) -> None:
+    def _disconnect(self) -> None:
         self.scheduler = None
         for answer in self.waiting.values():
             if not answer.done():
@@ -278,6 +278,6 @@
         if upstream is None or not self.registry.takes_work(upstream):
             # The scheduler knows one that this box has not heard of, or that
             # may get no work by what this box knows.
-            self._tell_ended(placed.id)
+            self._send_ended(placed.id)
             return None
         return decode_choice(placed, upstream)
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -27,7 +27,7 @@
 
     def give_back(self, choice: Choice) -> None:
         """Give back a place that is not used, so that nobody counts it as taken."""
-        self.link.give_back(choice.ticket)
+        self.link.release(choice.ticket)
 
     def pause_left(self, pool: PoolName) -> float:
         """Return how long every upstream of a pool wants a pause, in seconds."""
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -164,9 +164,9 @@
     link = PlacingLink('box', book, registry, 'token', scheduler.shares)
     for _ in range(50):
         ticket = link.track(0, UpstreamName('e0'), 10)
-        link.start(ticket)
-        link.fail(UpstreamName('e0'))
-        link.end(ticket)
+        link.record_start(ticket)
+        link.report_failure(UpstreamName('e0'))
+        link.record_end(ticket)
     assert not link.outbox.frame.ByteSize()
     assert not link.open
 
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -87,7 +87,7 @@
         await reached(link, connected=True)
         async with asyncio.timeout(15):
             for number in range(50):
-                link.fail(UpstreamName(str(number)))
+                link.report_failure(UpstreamName(str(number)))
                 while link.outbox.frame.ByteSize():
                     await asyncio.sleep(0.001)
         assert link.scheduler == hub
@@ -106,7 +106,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A pause here left every box to place by itself for 0.3 s after a change.
-    monkeypatch.setattr(placing, 'RETRY_SECONDS', 1000)
+    monkeypatch.setattr(placing, 'MAX_RETRY_DELAY_SECONDS', 1000)
     async with (
         silent_hub(read_on) as first,
         silent_hub(read_on) as second,
@@ -171,11 +171,11 @@
         assert isinstance(choice, Choice)
         clock.seconds += 3
         link.track(choice.ticket, choice.upstream.name, choice.tokens)
-        link.start(choice.ticket)
+        link.record_start(choice.ticket)
         async with asyncio.timeout(15):
             while scheduler.placement.books.waiting(choice.upstream.name):
                 await asyncio.sleep(0.01)
-        link.end(choice.ticket)
+        link.record_end(choice.ticket)
         async with asyncio.timeout(15):
             while scheduler.open:
                 await asyncio.sleep(0.01)
