--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -17,7 +17,7 @@
 from hitchdeck_core.errors import HitchdeckError, SettingsError
 from hitchdeck_core.ids import Address
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.settings import BoxSettings
 from hitchdeck_platform.settings import (
     PlatformSettings,
--- a/packages/edge/src/hitchdeck_edge/hub/attendees.py
+++ b/packages/edge/src/hitchdeck_edge/hub/connected_boxes.py
@@ -10,7 +10,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
-from hitchdeck_edge.links.attend import (
+from hitchdeck_edge.links.hub_streams import (
     MAX_MISSED_FRAMES,
     box_idle_interval,
     hub_idle_interval,
--- a/packages/edge/src/hitchdeck_edge/hub/documents_client.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents_client.py
@@ -25,8 +25,8 @@
 )
 from hitchdeck_edge.errors import SupersededError, UnavailableError
 from hitchdeck_edge.hub.documents import DocumentsService
-from hitchdeck_edge.hub.machine import pack_document
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.hub.state_machine import pack_document
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.model.document import DocumentVersion
 
 CALL_TIMEOUT_SECONDS = 0.6
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.hitchdeck_pb2 import Member
 from hitchdeck_core.wire.spread_pb2 import Hello
-from hitchdeck_edge.hub.attendees import ConnectedBoxes
+from hitchdeck_edge.hub.connected_boxes import ConnectedBoxes
 from hitchdeck_edge.hub.spread import HubState
 
 GROUP_CHECK_SECONDS = 0.3
--- a/packages/edge/src/hitchdeck_edge/hub/liveness.py
+++ b/packages/edge/src/hitchdeck_edge/hub/liveness.py
@@ -4,7 +4,7 @@
 
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address, InstanceName, UpstreamName
-from hitchdeck_edge.hub.rebirths import IncarnationOrder
+from hitchdeck_edge.hub.incarnation_order import IncarnationOrder
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.state.registry import Registry
 
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -9,13 +9,13 @@
 from hitchdeck_edge.hub import formation
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.hub.spread import HubState
-from hitchdeck_edge.links.attend import (
+from hitchdeck_edge.links.hub_frames import apply_hub_frame
+from hitchdeck_edge.links.hub_streams import (
     StreamHandlers,
     hub_idle_interval,
     hub_send_interval,
 )
-from hitchdeck_edge.links.hubs import KnownHubs
-from hitchdeck_edge.links.intake import apply_hub_frame
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.settings import HubSettings
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -11,7 +11,7 @@
 from hitchdeck_core.wire.spread_grpc import PlacingBase
 from hitchdeck_core.wire.spread_pb2 import Placed, PlacedFrame, PlacingFrame
 from hitchdeck_core.wire.spread_pb2 import Wanted as WantedMessage
-from hitchdeck_edge.hub.attendees import ConnectedBoxes
+from hitchdeck_edge.hub.connected_boxes import ConnectedBoxes
 from hitchdeck_edge.links.placing_messages import decode_wanted, encode_decision
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import HubSettings
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -27,21 +27,21 @@
 )
 from hitchdeck_edge.hub.documents import DocumentsService, GroupMember
 from hitchdeck_edge.hub.documents_client import DocumentsClient
-from hitchdeck_edge.hub.kept_file import (
-    StateFile,
-    document_file,
-    evacuations_file,
-    quarantine_file,
-    upstreams_file,
-)
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.hub.orders import DomainOrders
 from hitchdeck_edge.hub.peers import HubPeer
 from hitchdeck_edge.hub.placing import PlacingService, placing_service
 from hitchdeck_edge.hub.replica import group_folder, open_replica
 from hitchdeck_edge.hub.spread import HubState, SpreadService, new_state
-from hitchdeck_edge.links.attend import HubStreams
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.hub.state_file import (
+    StateFile,
+    document_file,
+    evacuations_file,
+    quarantine_file,
+    upstreams_file,
+)
+from hitchdeck_edge.links.hub_streams import HubStreams
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.model.document import Document
 from hitchdeck_edge.settings import HubSettings
 
--- a/packages/edge/src/hitchdeck_edge/hub/replica.py
+++ b/packages/edge/src/hitchdeck_edge/hub/replica.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.wire.spread_pb2 import EvacuationList
-from hitchdeck_edge.hub.machine import GroupStateMachine
+from hitchdeck_edge.hub.state_machine import GroupStateMachine
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.documents import Documents
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -18,8 +18,8 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_grpc import SpreadBase
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
-from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
-from hitchdeck_edge.links.attend import REPORT_INTERVAL_SECONDS
+from hitchdeck_edge.hub.connected_boxes import ConnectedBox, ConnectedBoxes
+from hitchdeck_edge.links.hub_streams import REPORT_INTERVAL_SECONDS
 from hitchdeck_edge.links.records import decode_suspicion, encode_upstream
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.documents import Documents, ReadDocument
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -9,13 +9,13 @@
 from hitchdeck_core.quarantine.quarantine import NOTHING, Told
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
 from hitchdeck_edge.dispatch.budget import RepeatBudget
-from hitchdeck_edge.links.attend import (
+from hitchdeck_edge.links.hub_frames import apply_hub_frame
+from hitchdeck_edge.links.hub_streams import (
     StreamHandlers,
     box_idle_interval,
     box_send_interval,
 )
-from hitchdeck_edge.links.hubs import KnownHubs
-from hitchdeck_edge.links.intake import apply_hub_frame
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.knowledge import Knowledge
--- a/packages/edge/src/hitchdeck_edge/links/attend.py
+++ b/packages/edge/src/hitchdeck_edge/links/hub_streams.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.supervisor import Supervisor, Work
 from hitchdeck_core.wire.spread_grpc import SpreadStub
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.known_hubs import KnownHubs
 
 MAX_MISSED_FRAMES = 3
 """Idle frames that must be missing before a link counts as cut."""
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -19,8 +19,8 @@
     PlacingFrame,
 )
 from hitchdeck_edge.errors import SchedulerMovedError
-from hitchdeck_edge.links.attend import CONNECT_TIMEOUT_SECONDS, LINK_ERRORS
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.hub_streams import CONNECT_TIMEOUT_SECONDS, LINK_ERRORS
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.outbox import Outbox
 from hitchdeck_edge.links.placing_messages import (
     decode_choice,
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -16,9 +16,9 @@
 from hitchdeck_edge.dispatch.connections import Connections
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.links.attend import HubStreams
 from hitchdeck_edge.links.entry import EntryLink
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.hub_streams import HubStreams
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.scheduling.chooser import Chooser
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.wire.spread_pb2 import HubFrame, Load
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.entry import DIGEST_TTL_SECONDS, EntryLink
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -17,7 +17,7 @@
     EvacuationOrder,
     GroupEntry,
 )
-from hitchdeck_edge.hub.machine import GroupStateMachine, pack_document
+from hitchdeck_edge.hub.state_machine import GroupStateMachine, pack_document
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.model.evacuations import evacuated_domains
 from hitchdeck_edge.model.upstreams import Phase, Upstream
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -11,7 +11,7 @@
 
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
-from hitchdeck_edge.hub.attendees import (
+from hitchdeck_edge.hub.connected_boxes import (
     MAX_RELIEF_TARGETS,
     RELIEF_TARGET_UTILIZATION,
     RELIEF_UTILIZATION,
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.ids import Address, PoolName, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.hub.attendees import ConnectedBox, ConnectedBoxes
+from hitchdeck_edge.hub.connected_boxes import ConnectedBox, ConnectedBoxes
 from hitchdeck_edge.hub.process import Hub
 from hitchdeck_edge.hub.spread import FRAME_INTERVAL_SECONDS
 from hitchdeck_edge.model.upstreams import Phase, Upstream
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.dispatch.answers import end_to_end
 from hitchdeck_edge.dispatch.budget import CAUTION, RepeatBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.links.hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
+from hitchdeck_edge.links.known_hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
 from hitchdeck_edge.serving.gauges import UNKNOWN_SECONDS, WATCHED_SECONDS, Gauges
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.hub.kept_file import (
+from hitchdeck_edge.hub.state_file import (
     StateFile,
     document_file,
     quarantine_file,
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.placing import FleetSize, PlacingService
 from hitchdeck_edge.links import placing
-from hitchdeck_edge.links.hubs import KnownHubs
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.shares import Shares
