--- a/packages/edge/src/hitchdeck_edge/hub/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/hub/__init__.py
@@ -1,1 +1,1 @@
-"""The hub: soft state, documents, and the group that keeps them."""
+"""The hub: fleet state in memory, and the replicated group that stores documents."""
--- a/packages/edge/src/hitchdeck_edge/hub/connected_boxes.py
+++ b/packages/edge/src/hitchdeck_edge/hub/connected_boxes.py
@@ -1,4 +1,4 @@
-"""The boxes that attend this hub, and what each last reported."""
+"""The boxes with a stream to this hub, and the last report of each."""
 
 import math
 from collections.abc import Mapping
@@ -18,14 +18,38 @@
 from hitchdeck_edge.state.tallies import Tally, tally_of, total_of
 
 TOTAL_CACHE_SECONDS = 0.1
-"""How long the sum over the fleet is kept: a third of the time between reports.
-Made anew for each box's frame it took a sixth of a hub's processor time (profile
-of ten seconds, 88 boxes and 90 engines)."""
+"""How long the total over the fleet is cached, a fraction of the report interval.
+
+Computing it for each box's frame took a sixth of a hub's processor time (profile of
+ten seconds, 88 boxes and 90 engines).
+"""
 
 
 @dataclass(slots=True)
 class ConnectedBox:
-    """One box on one stream; ``utilization`` is the part of its time that it works."""
+    """One box on one stream.
+
+    Attributes
+    ----------
+    hello
+        First message of the stream: the identity and addresses of the box.
+    last_frame
+        When the last frame arrived, in seconds.
+    version
+        Version of the document that the box has.
+    evacuations
+        Edition of the evacuation orders that the box has.
+    ready
+        Whether callers may be sent to the box.
+    reports_to_this_hub
+        Whether the box sends its load and demand to this hub.
+    reported_boxes
+        Number of entry boxes that report to this peer, if it is a hub.
+    utilization
+        Fraction of its time for which the box is busy, from 0 to 1.
+    tally
+        Load and demand that it last reported.
+    """
 
     hello: Hello
     last_frame: float
@@ -39,20 +63,20 @@
 
 
 RELIEF_UTILIZATION = 0.5
-"""Utilization from which a box is sent addresses of idle boxes of its domain."""
+"""A box above this utilization gets addresses of less busy boxes of its domain."""
 
 RELIEF_TARGET_UTILIZATION = 0.35
-"""Utilization up to which a box takes connections from others."""
+"""A box below this utilization accepts connections handed off by other boxes."""
 
 MAX_RELIEF_TARGETS = 8
-"""Addresses that it is sent."""
+"""Largest number of such addresses sent to one box."""
 
 BoxKey = tuple[str, bool]
-"""A machine's name, and whether its hub or its entry box is meant."""
+"""Name of the machine, and whether the process is its hub (or its entry box)."""
 
 
 class ConnectedBoxes:
-    """All hubs and entry boxes that attend this hub."""
+    """All hubs and entry boxes with a stream to this hub."""
 
     def __init__(self, now: Clock, domain: str) -> None:
         self.now = now
@@ -65,24 +89,24 @@
         self.counted_at = -math.inf
 
     def register(self, hello: Hello) -> ConnectedBox:
-        """Start the record of a box; it replaces that of an earlier life."""
+        """Add a box that opened a stream; replaces an earlier incarnation of it."""
         connected_box = ConnectedBox(hello, self.now())
         self.boxes[_box_key(hello)] = connected_box
         if hello.hub_address:
             self.hub_boxes[_box_key(hello)] = connected_box
-        logs.info('box attends', attendee=hello.box, entry=hello.entry_address)
+        logs.info('box connected', attendee=hello.box, entry=hello.entry_address)
         return connected_box
 
     def unregister(self, connected_box: ConnectedBox) -> None:
-        """End the record of a box, unless a newer stream has replaced it."""
+        """Remove a box whose stream ended, unless a newer stream has replaced it."""
         key = _box_key(connected_box.hello)
         if self.boxes.get(key) is connected_box:
             self.boxes.pop(key)
             self.hub_boxes.pop(key, None)
-            logs.info('box left', attendee=connected_box.hello.box)
+            logs.info('box disconnected', attendee=connected_box.hello.box)
 
     def record_frame(self, connected_box: ConnectedBox, frame: BoxFrame) -> None:
-        """Take what a box reports."""
+        """Store what a frame of a box reports."""
         connected_box.last_frame = self.now()
         connected_box.version = int(frame.version)
         connected_box.evacuations = int(frame.evacuations)
@@ -94,7 +118,7 @@
             connected_box.tally = tally_of(frame)
 
     def idle_interval(self, connected_box: ConnectedBox) -> float:
-        """Return the seconds between idle frames of a box or hub and this hub."""
+        """Return the interval of idle frames between a box and this hub, in seconds."""
         same_domain = connected_box.hello.domain == self.domain
         return (
             hub_idle_interval(same_domain)
@@ -103,7 +127,7 @@
         )
 
     def gets_updates_at_once(self, connected_box: ConnectedBox) -> bool:
-        """Tell whether a box or hub is sent news when it comes."""
+        """Tell whether updates go to a box at once, not with its next idle frame."""
         same_domain = connected_box.hello.domain == self.domain
         return (
             same_domain
@@ -112,11 +136,11 @@
         )
 
     def ready_entries(self) -> list[ConnectedBox]:
-        """Return the entry boxes that are alive and ready."""
+        """Return the live entry boxes that are ready for callers."""
         return [one for one in self._alive() if one.hello.entry_address and one.ready]
 
     def relief_targets_for(self, connected_box: ConnectedBox) -> list[Address]:
-        """Return boxes that take connections from one that is short of time."""
+        """Return boxes to which an overloaded box may hand off connections."""
         if (
             connected_box.utilization <= RELIEF_UTILIZATION
             or not connected_box.hello.relief_address
@@ -133,26 +157,26 @@
         return [Address(one.hello.relief_address) for one in able[:MAX_RELIEF_TARGETS]]
 
     def hubs(self) -> list[ConnectedBox]:
-        """Return the hubs that are alive."""
-        # Asked for with every frame: it must not look at every box.
+        """Return the live hubs."""
+        # Called for every frame, so it must not iterate over all boxes.
         return self._alive(self.hub_boxes)
 
     def hub_addresses(self) -> set[Address]:
-        """Return the addresses of the hubs that are alive."""
+        """Return the addresses of the live hubs."""
         return {Address(one.hello.hub_address) for one in self.hubs()}
 
     def reporting_boxes(self) -> list[ConnectedBox]:
-        """Return the entry boxes that report to this hub."""
+        """Return the live entry boxes that report to this hub."""
         return [one for one in self._alive() if one.reports_to_this_hub]
 
     def reporting_total(self) -> Tally:
-        """Return the sum over the boxes that report to this hub."""
+        """Return the total load and demand of the boxes that report to this hub."""
         return total_of(one.tally for one in self.reporting_boxes())
 
     def fleet_total(self) -> Tally:
-        """Return the sum over the fleet: own boxes and what hubs passed on.
+        """Return the total over the fleet: own boxes and those relayed by other hubs.
 
-        Nobody may change it, and it is up to ``TOTAL_CACHE_SECONDS`` old.
+        The tally is cached for ``TOTAL_CACHE_SECONDS`` and must not be modified.
         """
         if self.now() - self.summed_at >= TOTAL_CACHE_SECONDS:
             reporting = self.reporting_boxes() + self.hubs()
@@ -161,9 +185,9 @@
         return self.sum
 
     def box_count(self) -> int:
-        """Return how many entry boxes the fleet has, as far as known.
+        """Return the known number of entry boxes in the fleet.
 
-        It is up to ``TOTAL_CACHE_SECONDS`` old.
+        The count is cached for ``TOTAL_CACHE_SECONDS``.
         """
         if self.now() - self.counted_at >= TOTAL_CACHE_SECONDS:
             reported = sum(one.reported_boxes for one in self.hubs())
--- a/packages/edge/src/hitchdeck_edge/hub/directory.py
+++ b/packages/edge/src/hitchdeck_edge/hub/directory.py
@@ -1,10 +1,10 @@
-"""Which entry boxes a caller is told of.
+"""Selection of the entry boxes whose addresses a caller gets.
 
-Callers take one of the addresses by chance for every new connection, drop
-connections to boxes that a later answer leaves out, and keep an answer for some
-seconds.  So an answer names boxes of the caller's own failure domain, as many
-as it may; the same ones each time it is asked; and some elsewhere where its
-domain has too few left, or has no room left, to carry its callers.
+For every new connection a caller picks one of the addresses at random.  It caches the
+addresses for some seconds, and closes connections to boxes that are missing from a
+later response.  A selection therefore holds as many boxes of the caller's failure
+domain as fit, the same ones for each request, and boxes of other domains if the
+caller's domain has too few boxes or too little capacity left for its callers.
 """
 
 import math
@@ -17,62 +17,87 @@
 from hitchdeck_core.ids import Address, BoxName
 
 CallerKey = NewType('CallerKey', str)
-"""What is the same each time a caller asks, and differs between callers."""
+"""Key that identifies a caller: stable over its requests, unique among callers."""
 
 MIN_OTHER_DOMAINS = 1
-"""Boxes of other domains in each answer: a caller that gets no new answer
-because its domain is lost has somewhere to go.  Each costs a part of the
-connections that cross domains, one in 41 where a domain has 40 boxes."""
+"""Minimum number of boxes of other domains in each selection.
+
+It lets a caller connect that can't refresh its addresses because its domain has failed.
+Each such box adds connections that cross domains: one in 41 if a domain has 40 boxes.
+"""
 
 MIN_ADDRESSES = 16
-"""Boxes that an answer names at least, if the fleet has them.  A flood comes from
-one domain, in a second, and what was told stays in use for some: five boxes of a
-small domain had no processor time left for 20 s, and 0.18 of what their callers
-were owed was earned.  To cross costs a fiftieth of a long request's worth."""
+"""Minimum number of boxes in a selection, if the fleet has them.
+
+The load of one domain can surge within a second while callers still use cached
+addresses: five boxes of a small domain had no processor time left for 20 s, and their
+callers got 0.18 of their fair share of work.  A request that crosses domains loses about a
+fiftieth of a long request's value.
+"""
 
 MIN_DOMAIN_FRACTION = 0.5
-"""Part of a usual domain's boxes that a domain's callers get at least.  With
-half of its boxes lost a domain still carries its callers; with fewer, others
-take part."""
+"""Minimum number of boxes for a domain's callers, as a fraction of the mean size.
+
+A domain that has lost half of its boxes can still serve its callers; with fewer left,
+boxes of other domains are added.
+"""
 
 BUSY_UTILIZATION = 0.15
-"""Part of its time that a box works from which a domain's callers are sent
-elsewhere too.  A flood asks for five to ten times as much within a second, and
-callers keep what they were told for some: the rest has to carry it until then."""
+"""Mean utilization of a domain above which its callers also get other domains.
+
+A surge multiplies the load by five to ten within a second, and callers keep cached
+addresses for some seconds: the remaining capacity has to absorb it until then.
+"""
 
 SATURATED_UTILIZATION = 0.5
-"""Part of its time from which a box is given as little as it can be: requests
-wait for each other in it, and its answers come late."""
+"""Utilization above which a box gets as few callers as possible.
+
+Requests queue in such a box, and its responses are delayed.
+"""
 
 MAX_SPILL_RATIO = 4.0
-"""Boxes elsewhere for each at home where those have no room at all: a flood of a
-fifth of the callers is carried by all boxes then."""
+"""Boxes of other domains per box of the own domain, if that one is saturated.
+
+A surge from a fifth of the callers is then spread over all boxes.
+"""
 
 IMBALANCE_RATIO = 1.2
-"""Utilization of a box over the mean of an answer above which it is told to a part of
-the callers only."""
+"""A box is left out for some callers if it is this much busier than the selection.
+
+The ratio is that of its utilization to the mean utilization of the selected boxes.
+"""
 
 DAMPING_EXPONENT = 0.75
-"""Exponent below 1, so that a box whose callers have left does not get all of them
-back at once."""
+"""Exponent below 1: callers return gradually to a box that was left out."""
 
 MIN_KEPT = 3
-"""Boxes that an answer still names when overloaded ones are left out."""
+"""Minimum number of addresses after overloaded boxes are left out."""
 
 MIN_BOXES_WITHOUT_HUB = 8
-"""Boxes without a hub beside them that a domain must have before those with one
-are left out: a hub answers the fleet, on the same processor."""
+"""Boxes without a hub on their machine that a domain needs before others are left out.
+
+A hub serves the whole fleet and shares the processor with the entry box beside it.
+"""
 
 _THINNING_SALT = 'spread'
 
 
 @dataclass(frozen=True, slots=True)
 class ReadyEntry:
-    """An entry box that is ready: where callers reach it.
+    """An entry box that is ready for callers.
 
-    ``shares_machine_with_hub`` tells whether a hub runs on the same machine,
-    ``utilization`` which
-    part of its time the box worked of late, from 0 to 1.
+    Attributes
+    ----------
+    address
+        Where callers connect.
+    box
+        Name of its machine.
+    domain
+        Failure domain of the box.
+    shares_machine_with_hub
+        Whether a hub runs on the same machine.
+    utilization
+        Fraction of its time for which the box was busy recently, from 0 to 1.
     """
 
     address: Address
@@ -84,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressSelection:
-    """What a caller is told: boxes of its own domain, and others."""
+    """Addresses selected for a caller: boxes of its own domain, and of others."""
 
     same_domain: tuple[Address, ...]
     other_domains: tuple[Address, ...]
 
     @property
     def addresses(self) -> list[Address]:
-        """Return all of them, in an order that says nothing."""
+        """Return all addresses, sorted: the order implies no preference."""
         return sorted({*self.same_domain, *self.other_domains})
 
 
@@ -101,7 +126,7 @@
     entries: Collection[ReadyEntry],
     limit: int,
 ) -> AddressSelection:
-    """Return what a caller in a domain is told.
+    """Select the addresses for a caller in a failure domain.
 
     Parameters
     ----------
@@ -138,16 +163,17 @@
     allowed_areas: frozenset[str],
     areas: Mapping[str, str],
 ) -> Sequence[ReadyEntry]:
-    """Return the boxes for a host whose requests have homes, all where it has none.
+    """Return the boxes that may receive requests to a host with allowed areas.
 
-    Those of the caller's area and of homes; if none of them is ready, any box.
+    These are the boxes in the caller's area and in the allowed areas; all boxes if none
+    of them is ready or if the host has no allowed areas.
 
     Parameters
     ----------
     domain
         Failure domain of the caller.
-    homes
-        Areas in which requests to the host may be served; everywhere if empty.
+    allowed_areas
+        Areas in which requests to the host may be served; any area if empty.
     areas
         The area of each failure domain.
     """
@@ -160,11 +186,11 @@
 def without_overloaded(
     caller: CallerKey, selection: AddressSelection, entries: Iterable[ReadyEntry]
 ) -> list[Address]:
-    """Return an answer's addresses without some of the overloaded boxes.
+    """Return the addresses of a selection without some of the overloaded boxes.
 
-    Some callers stay with one of the addresses that they are told, all of an account
-    with the same one.  A box that works more than the others is told to a part of the
-    callers, the same ones each time, so that the rest go elsewhere.
+    Some callers keep using a single address, the same one for all callers of a client
+    account.  A box that is busier than the others is therefore returned to a fraction
+    of the callers only, always the same ones, so that the others use another box.
     """
     utilization = {entry.address: entry.utilization for entry in entries}
     addresses = selection.addresses
@@ -183,22 +209,22 @@
 
 
 def _thinning_fraction(caller: CallerKey, address: Address) -> float:
-    """Return a number from 0 to 1, always the same for a caller and a box."""
-    # Not the hash by which boxes are drawn: those drawn all rank high by it.
+    """Return a number from 0 to 1 that is constant for a caller and a box."""
+    # Salted, as selected boxes all rank high by the hash that selects them.
     return stable_hash(_THINNING_SALT, caller, address) / HASH_VALUES
 
 
 def _min_boxes(entries: Collection[ReadyEntry]) -> int:
-    """Return how many boxes can carry the callers of a usual domain."""
+    """Return the number of boxes that can serve the callers of a mean-sized domain."""
     sizes = Counter(entry.domain for entry in entries)
     mean_size = len(entries) / max(1, len(sizes))
     return max(MIN_ADDRESSES, math.ceil(mean_size * MIN_DOMAIN_FRACTION))
 
 
 def _other_domains_count(same_domain: int, other_domains: int, limit: int) -> int:
-    """Return how many boxes elsewhere fit, in the proportion that is wanted.
+    """Return how many boxes of other domains fit, keeping the wanted proportion.
 
-    At least one of either kind is shown, if there is one and room for both.
+    At least one box of each kind is included if there is one and the limit allows both.
     """
     if same_domain + other_domains <= limit:
         return other_domains
@@ -209,10 +235,11 @@
 
 
 def _spill_count(same_domain: Sequence[ReadyEntry]) -> int:
-    """Return how many boxes elsewhere take part of a flood's load.
+    """Return how many boxes of other domains are to share the load of a surge.
 
-    None while those at home have room, ``MAX_SPILL_RATIO`` for each where they
-    have none, and in proportion between, so that what is sent away settles.
+    None up to ``BUSY_UTILIZATION``, ``MAX_SPILL_RATIO`` per box from
+    ``SATURATED_UTILIZATION``, and linear between them, so that the load converges
+    instead of oscillating between domains.
     """
     utilization = sum(entry.utilization for entry in same_domain) / max(
         1, len(same_domain)
@@ -226,7 +253,7 @@
 
 
 def _unsaturated(entries: Iterable[ReadyEntry]) -> list[ReadyEntry]:
-    """Return the boxes that have room, or all of them if none has."""
+    """Return the boxes that are not saturated, or all of them if all are."""
     candidates = list(entries)
     return [
         entry for entry in candidates if entry.utilization < SATURATED_UTILIZATION
@@ -234,7 +261,7 @@
 
 
 def _prefer_without_hub(entries: Iterable[ReadyEntry]) -> list[ReadyEntry]:
-    """Return a domain's boxes, without those beside a hub if it has many."""
+    """Return a domain's boxes; leaves out those beside a hub if enough others exist."""
     candidates = list(entries)
     without_hub = [entry for entry in candidates if not entry.shares_machine_with_hub]
     return without_hub if len(without_hub) >= MIN_BOXES_WITHOUT_HUB else candidates
@@ -243,7 +270,7 @@
 def _select(
     caller: CallerKey, entries: Sequence[ReadyEntry], limit: int
 ) -> tuple[Address, ...]:
-    """Return some boxes by rendezvous: few change when one comes or goes."""
+    """Select boxes by rendezvous hashing: adding or removing a box changes few."""
     addresses = [entry.address for entry in entries]
     if len(addresses) <= limit:
         return tuple(addresses)
--- a/packages/edge/src/hitchdeck_edge/hub/documents.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents.py
@@ -1,4 +1,4 @@
-"""Accepting documents and orders, and reading the newest: by the leader alone."""
+"""gRPC service of the leader: commits documents and orders, reads the newest."""
 
 from dataclasses import dataclass
 
@@ -25,17 +25,22 @@
 
 @dataclass(slots=True)
 class GroupMember:
-    """The replica of this hub, if it has a disk, and what it needs to commit.
-
-    ``voters_needed`` is the least number of voters under which nothing that
-    was accepted is lost together with as many disks as may be lost at once.
+    """A hub's membership in the replicated group.
+
+    Attributes
+    ----------
+    replica
+        Replica of this hub; ``None`` if it has no disk.
+    voters_needed
+        Minimum number of voters for a commit: with fewer, accepted entries could be
+        lost along with the number of disks that may fail at once.
     """
 
     replica: Replica | None
     voters_needed: int
 
     def require_leader(self) -> Replica:
-        """Return the replica that leads, or raise ``NotLeaderError``."""
+        """Return the replica of this hub if it leads, else raise ``NotLeaderError``."""
         if self.replica is None:
             raise NotLeaderError('')
         if not self.replica.is_leader():
@@ -44,7 +49,7 @@
 
 
 class DocumentsService(DocumentsBase):
-    """Serves what hubs ask of the leader."""
+    """Serves the requests that hubs send to the leader."""
 
     def __init__(self, member: GroupMember, documents: Documents) -> None:
         self.member = member
@@ -67,13 +72,13 @@
         await stream.send_message(PublishReply(accepted=True))
 
     async def Evacuate(self, stream: Stream[EvacuateRequest, EvacuateReply]) -> None:
-        """Commit an order on a failure domain."""
+        """Commit an evacuation order on a failure domain."""
         request = await stream.recv_message()
         assert request is not None
         await stream.send_message(await self._evacuate(request.order))
 
     async def Newest(self, stream: Stream[NewestRequest, NewestReply]) -> None:
-        """Return the newest document, surely."""
+        """Send the newest committed document."""
         await stream.recv_message()
         try:
             document = self.newest()
@@ -89,43 +94,45 @@
         Raises
         ------
         NotLeaderError
-            Nothing was done.
+            This hub does not lead; nothing was proposed.
         UnavailableError
-            Too few voters to keep it safe.
+            There are too few voters to store it safely.
         OutcomeUnknownError
-            It may or may not come into force.
+            The document may or may not be committed.
         """
         await self._commit(GroupEntry(version=document.version, body=document.body))
 
     async def commit_order(self, order: EvacuationOrder) -> None:
-        """Commit an order as the leader.
+        """Commit an evacuation order as the leader.
 
         Raises
         ------
         NotLeaderError
-            Nothing was done.
+            This hub does not lead; nothing was proposed.
         SupersededError
             A later order on the domain was committed; this one has no effect.
         UnavailableError
-            Too few voters to keep it safe.
+            There are too few voters to store it safely.
         OutcomeUnknownError
-            It may or may not come into force.
+            The order may or may not be committed.
         """
         if not await self._commit(GroupEntry(order=order)):
             raise SupersededError(f'a later order on {order.domain} is in force')
 
     def newest(self) -> Document:
-        """Return the newest document, or raise ``NotLeaderError``."""
+        """Return the newest committed document, or raise ``NotLeaderError``."""
         replica = self.member.require_leader()
         replica.check_leads()
         return self.documents.message()
 
     async def _commit(self, entry: GroupEntry) -> bool:
-        """Commit an entry, and tell whether what it asks for holds."""
+        """Commit an entry; return whether the state that it requests is in force."""
         replica = self.member.require_leader()
         voters = len(replica.voters())
         if voters < self.member.voters_needed:
-            raise UnavailableError(f'{voters} voters, fewer than are safe')
+            raise UnavailableError(
+                f'group has only {voters} voters, too few for a safe commit'
+            )
         return bool(await replica.propose(entry.SerializeToString()))
 
     async def _evacuate(self, order: EvacuationOrder) -> EvacuateReply:
--- a/packages/edge/src/hitchdeck_edge/hub/documents_client.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents_client.py
@@ -1,4 +1,4 @@
-"""Documents and orders at any hub: they are committed by finding the leader."""
+"""Client for documents and orders: any hub forwards them to the leader."""
 
 import asyncio
 import random
@@ -30,13 +30,13 @@
 from hitchdeck_edge.model.document import DocumentVersion
 
 CALL_TIMEOUT_SECONDS = 0.6
-"""For one call to the leader: an operator moves on after a second."""
+"""Timeout of one call to the leader: an operator's client gives up after a second."""
 
 TOTAL_TIMEOUT_SECONDS = 0.9
-"""For a whole answer to an operator, all tries together; see above."""
+"""Timeout of a whole operation, with all attempts, for the same reason."""
 
 RETRY_DELAY_SECONDS = 0.05
-"""Between two tries: an election takes some hundred milliseconds."""
+"""Delay between two attempts: an election takes some hundred milliseconds."""
 
 Answer = TypeVar('Answer')
 
@@ -45,7 +45,7 @@
 
 
 class DocumentsClient:
-    """Does what operators ask of this hub: here if it leads, else at the leader."""
+    """Runs operators' requests on this hub if it leads, else on the leader."""
 
     def __init__(
         self,
@@ -61,35 +61,35 @@
         self.leader = Address('')
 
     async def publish(self, version: DocumentVersion, text: bytes) -> None:
-        """Return once a document, or one as new, is committed.
+        """Commit a document; returns once it or a newer one is committed.
 
         Raises
         ------
         UnavailableError
-            It may or may not come into force.
+            No commit was confirmed in time; the document may still be committed.
         """
         document = pack_document(version, text)
         await self._retry_until_answered(partial(self._publish_once, document))
 
     async def evacuate(self, order: EvacuationOrder) -> None:
-        """Return once an order on a failure domain is committed.
+        """Commit an evacuation order on a failure domain.
 
         Raises
         ------
         SupersededError
             A later order on the domain is in force; this one has no effect.
         UnavailableError
-            It may or may not come into force.
+            No commit was confirmed in time; the order may still be committed.
         """
         await self._retry_until_answered(partial(self._evacuate_once, order))
 
     async def newest(self) -> tuple[DocumentVersion, bytes]:
-        """Return version and text of the newest document.
+        """Return the version and text of the newest committed document.
 
         Raises
         ------
         UnavailableError
-            No leader could say so in time.
+            No leader answered in time.
         """
         document = await self._retry_until_answered(self._newest_once)
         version = DocumentVersion(int(document.version))
@@ -100,7 +100,7 @@
         self,
         ask_once: Callable[[float], Awaitable[Answer | None]],
     ) -> Answer:
-        """Repeat a call that is told when to end, until it returns an answer."""
+        """Retry a call, which gets the deadline, until it returns an answer."""
         deadline = self.now() + TOTAL_TIMEOUT_SECONDS
         while self.now() < deadline:
             answer = await ask_once(deadline)
@@ -110,7 +110,7 @@
         raise UnavailableError('no leader answered in time')
 
     async def _publish_once(self, document: Document, deadline: float) -> bool | None:
-        """Return ``True`` once it is committed, ``None`` while that is not sure."""
+        """Return ``True`` if the document is committed, ``None`` if that is unknown."""
         if self.service.documents.version >= document.version:
             return True
         commit = partial(self.service.commit, document)
@@ -129,7 +129,7 @@
         request: PublishRequest | EvacuateRequest,
         deadline: float,
     ) -> bool | None:
-        """Commit here if this hub leads, else at the leader; ``None`` if unsure."""
+        """Commit here or at the leader; return ``None`` if the outcome is unknown."""
         try:
             async with asyncio.timeout(deadline - self.now()):
                 await commit()
@@ -138,13 +138,13 @@
         except SupersededError:
             raise
         except (UnavailableError, OutcomeUnknownError, TimeoutError) as error:
-            logs.warning('not committed', reason=repr(error))
+            logs.warning('commit not confirmed', reason=repr(error))
             return None
         else:
             return True
         reply = await self._call(request, deadline)
         if isinstance(reply, EvacuateReply) and reply.superseded:
-            raise SupersededError(f'a later order than {request} is in force')
+            raise SupersededError(f'an order later than {request} is in force')
         return True if getattr(reply, 'accepted', False) else None
 
     async def _newest_once(self, deadline: float) -> Document | None:
@@ -162,7 +162,7 @@
             self.leader = Address(address)
 
     def _choose_hub(self) -> Address | None:
-        """Return the hub that leads as far as known, else any in reach."""
+        """Return the last known leader, else a random reachable hub."""
         if self.leader:
             return self.leader
         return (
@@ -186,7 +186,7 @@
             ):
                 reply = await _ask(DocumentsStub(channel), request)
         except TRANSPORT_ERRORS as error:
-            logs.info('leader not reached', hub=address, reason=repr(error))
+            logs.info('call to leader failed', hub=address, reason=repr(error))
             self.leader = Address('')
             return None
         finally:
--- a/packages/edge/src/hitchdeck_edge/hub/formation.py
+++ b/packages/edge/src/hitchdeck_edge/hub/formation.py
@@ -1,9 +1,10 @@
-"""The group founds itself, takes in hubs with disks, and replaces lost ones.
+"""Automatic formation and maintenance of the replicated group.
 
-Nobody gives commands here.  One hub alone may found: the first of the seeds,
-which are the same for all at the first start, or, if that one has no disk,
-the hub that it names.  Documents are accepted only once the group is large
-enough, so a lone founder promises nothing.
+No operator is involved: the group is founded, hubs with disks are admitted, and lost
+ones are replaced.  Only one hub may found the group: the first of the seeds, which are
+the same for all hubs at the first start, or, if that one has no disk, the hub that it
+names.  Documents are accepted only once the group has enough voters, so that a founder
+on its own acknowledges nothing that could be lost.
 """
 
 import asyncio
@@ -23,24 +24,29 @@
 from hitchdeck_edge.hub.spread import HubState
 
 GROUP_CHECK_SECONDS = 0.3
-"""Between two looks at the group: a lost disk is replaced within a second."""
+"""Interval between checks of the group: a lost disk is replaced within a second."""
 
 FOUNDER_WAIT_SECONDS = 0.6
-"""How long a first seed without a disk waits for hubs that have one: all
-machines start within some tenths of a second."""
+"""How long a first seed without a disk waits for hubs that have one.
+
+All machines start within some tenths of a second.
+"""
 
 CATCH_UP_TIMEOUT_SECONDS = 5.0
-"""For one newcomer; others wait their turn meanwhile."""
+"""Timeout of one membership change; other new members wait meanwhile."""
 
 UNRESPONSIVE_VOTER_SECONDS = 4.0
-"""A voter silent for so long may leave the group; a restart takes 1 to 3."""
+"""Time without a response after which a voter may be removed.
+
+A restart takes 1 to 3 s.
+"""
 
 MAX_VOTERS = 7
-"""More voters make each commit slower and bear no loss that is asked for."""
+"""Maximum number of voters: more slow down each commit, for no required tolerance."""
 
 
 async def name_founder(state: HubState) -> None:
-    """Name the hub that founds, as the first seed without a disk; once."""
+    """Name the hub that founds the group; runs on a first seed without a disk."""
     await asyncio.sleep(FOUNDER_WAIT_SECONDS)
     while not state.founder:
         candidates = [
@@ -62,7 +68,7 @@
 async def maintain_group(
     replica: Replica, connected_boxes: ConnectedBoxes, min_voters: int
 ) -> None:
-    """Admit and dismiss while this replica leads; for ever."""
+    """Admit and remove members while this replica leads; runs forever."""
     while True:
         await asyncio.sleep(GROUP_CHECK_SECONDS)
         if not replica.has_lease():
@@ -71,10 +77,10 @@
             async with asyncio.timeout(CATCH_UP_TIMEOUT_SECONDS):
                 await _maintain_once(replica, connected_boxes, min_voters)
         except (MembershipError, NotLeaderError, OutcomeUnknownError) as error:
-            logs.info('membership unchanged', reason=str(error))
+            logs.info('membership change failed', reason=str(error))
         except TimeoutError:
             logs.warning(
-                'membership change takes long', seconds=CATCH_UP_TIMEOUT_SECONDS
+                'membership change timed out', seconds=CATCH_UP_TIMEOUT_SECONDS
             )
 
 
--- a/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
+++ b/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
@@ -1,9 +1,9 @@
-"""Lives that seem earlier than the latest one known, because a clock was set back.
+"""Order of the incarnations of an upstream when a clock was set back.
 
-A life is ordered by when it says that it started.  Started after its machine's clock
-was set back, it seems to be an earlier one, and every report of it a late one.  The
-rule: it is believed once it has reported for ``CONFIRMATION_SECONDS`` and the life that
-seems later is silent or gone.
+Incarnations are ordered by the start time that they report.  One that started after its
+machine's clock was set back seems to precede the latest known one, and its reports look
+like delayed ones.  It is accepted as the latest once it has reported for
+``CONFIRMATION_SECONDS`` while the seemingly later incarnation is suspected or gone.
 """
 
 from dataclasses import dataclass, replace
@@ -15,22 +15,30 @@
 from hitchdeck_edge.state.registry import Registry
 
 CONFIRMATION_SECONDS = 10.0
-"""Longer than a report may be late on its way (some seconds)."""
+"""Longer than a report can be delayed in transit (some seconds)."""
 
 MAX_UNCONFIRMED = 256
-"""Bounds the memory; the one doubted first is dropped."""
+"""Maximum number of unconfirmed incarnations kept; the oldest is dropped first."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedIncarnation:
-    """A life that seems earlier: its first report, and when that came."""
+    """First report of an incarnation that seems to precede the latest known one.
+
+    Attributes
+    ----------
+    since
+        When the report arrived, in seconds.
+    sequence
+        Sequence number of the report.
+    """
 
     since: float
     sequence: int
 
 
 class IncarnationOrder:
-    """Settles which reports of an instance are those of its latest life."""
+    """Decides which reports of an instance are from its latest incarnation."""
 
     def __init__(self, registry: Registry, now: Clock) -> None:
         self.registry = registry
@@ -38,10 +46,13 @@
         self.unconfirmed: dict[UpstreamName, UnconfirmedIncarnation] = {}
 
     def resolve(self, upstream: Upstream) -> Upstream | None:
-        """Return a report as it counts, ``None`` if it is of an earlier life."""
+        """Return a report with its start time corrected.
+
+        Returns ``None`` if the report is from an earlier incarnation.
+        """
         known = self.registry.records.get(upstream.name)
         if known is not None:
-            # It may have been set later than it says.
+            # The start time may have been corrected when it was accepted.
             upstream = replace(upstream, born=known.born)
         newest = self.registry.newest_life(upstream.lineage)
         if newest is None or upstream.age_rank >= newest.age_rank:
--- a/packages/edge/src/hitchdeck_edge/hub/liveness.py
+++ b/packages/edge/src/hitchdeck_edge/hub/liveness.py
@@ -1,4 +1,4 @@
-"""Which upstreams were heard of, by this hub or another."""
+"""Failure detection for upstreams, from their reports to this hub and to others."""
 
 import asyncio
 
@@ -9,19 +9,21 @@
 from hitchdeck_edge.state.registry import Registry
 
 MAX_MISSED_REPORTS = 4
-"""Reports in a row that an upstream may miss: one may be seconds late."""
+"""Consecutive reports that an upstream may miss: one may be seconds late."""
 
 CHECK_SECONDS = 0.5
-"""Between two looks for silent upstreams."""
+"""Interval between checks for upstreams that stopped reporting."""
 
 
 class Liveness:
-    """Takes reports of upstreams, and marks those that fall silent.
+    """Processes reports of upstreams, and suspects those that stop reporting.
 
     Attributes
     ----------
-    direct
-        When this hub itself last got a report of each upstream, seconds.
+    last_reports
+        When each upstream last reported to this hub itself, in seconds.
+    last_sent
+        When each other hub was last sent the upstreams heard here, in seconds.
     """
 
     def __init__(self, registry: Registry, now: Clock, period: float) -> None:
@@ -33,7 +35,7 @@
         self.incarnation_order = IncarnationOrder(registry, now)
 
     def report(self, upstream: Upstream) -> None:
-        """Take a report that an upstream sent to this hub."""
+        """Process a report that an upstream sent to this hub."""
         accepted = self.incarnation_order.resolve(upstream)
         if accepted is None:
             return
@@ -42,21 +44,21 @@
         self.last_reports[accepted.name] = self.now()
 
     def end(self, instance: InstanceName, born: int = 0) -> None:
-        """Take word that an upstream ends; its latest life where it names none."""
+        """Record that an upstream exits: its latest incarnation if ``born`` is 0."""
         self.registry.end(instance, 'report', born)
         for name in self.registry.gone():
             self.last_reports.pop(name, None)
 
     def heard_since_last_frame(self, hub: Address) -> list[UpstreamName]:
-        """Return whom this hub has heard since it last told another."""
+        """Return the upstreams that reported here since the last frame to a hub."""
         since = self.last_sent.get(hub, 0)
         self.last_sent[hub] = self.now()
         return [name for name, at in self.last_reports.items() if at >= since]
 
     async def run(self) -> None:
-        """Mark silent upstreams; for ever.
+        """Suspect upstreams that stopped reporting; runs forever.
 
-        A hub that hears nobody is itself cut off and marks nobody.
+        A hub that hears no upstream at all is itself partitioned and suspects none.
         """
         limit = MAX_MISSED_REPORTS * self.period
         while True:
--- a/packages/edge/src/hitchdeck_edge/hub/orders.py
+++ b/packages/edge/src/hitchdeck_edge/hub/orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators on failure domains."""
+"""Evacuation orders of operators on failure domains."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,10 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainOrders:
-    """Takes orders at this hub.
-
-    ``areas`` names the failure domains of the deployment; any domain is accepted where
-    it is empty.
+    """Accepts evacuation orders at this hub.
+
+    Attributes
+    ----------
+    documents
+        Commits the orders.
+    evacuations
+        Orders in force.
+    areas
+        Area of each failure domain of the deployment; if empty, any domain is accepted.
     """
 
     documents: DocumentsClient
@@ -24,14 +30,16 @@
     areas: Mapping[str, str]
 
     async def evacuate(self, domain: str, *, active: bool) -> None:
-        """Return once an order on a failure domain is committed.
+        """Commit an order to start or end the evacuation of a failure domain.
 
         Raises
         ------
         UnknownDomainError
             The deployment has no such domain.
+        SupersededError
+            A later order on the domain is in force; this one has no effect.
         UnavailableError
-            It may or may not come into force, or a later order is in force.
+            No commit was confirmed in time; the order may still be committed.
         """
         if self.areas and domain not in self.areas:
             raise UnknownDomainError(f'no failure domain {shown(domain)}')
--- a/packages/edge/src/hitchdeck_edge/hub/peers.py
+++ b/packages/edge/src/hitchdeck_edge/hub/peers.py
@@ -1,4 +1,4 @@
-"""What a hub says to the other hubs, and does with what they say."""
+"""Frames that a hub exchanges with the other hubs."""
 
 import asyncio
 import secrets
@@ -20,7 +20,7 @@
 
 
 class HubPeer:
-    """The hub of this process, as the others see it."""
+    """Represents this process's hub on its streams to other hubs."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.incarnation = secrets.token_hex(4)
 
     def stream_handlers(self, known_hubs: KnownHubs) -> StreamHandlers:
-        """Return how this hub attends the others."""
+        """Return the handlers for the streams to other hubs."""
 
         def on_frame(address: Address, frame: HubFrame) -> None:
             apply_hub_frame(address, frame, self.state)
@@ -72,11 +72,11 @@
         return frame
 
     def on_loss(self, hub: Address) -> None:
-        """Note that a hub is lost; it is told everything when it is back."""
+        """Forget what a lost hub was sent: a new stream starts with everything."""
         self.liveness.last_sent.pop(hub, None)
 
     async def found_when_named(self, replica: Replica) -> None:
-        """Found the group if this hub is named, else wait; for ever."""
+        """Found the group once this hub is named as the founder; runs forever."""
         while True:
             named = self.state.founder == self.state.address
             fresh = self.settings.may_found and not replica.members()
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -1,4 +1,4 @@
-"""The scheduler's side of a box's stream."""
+"""gRPC service of the scheduler for the streams of entry boxes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 from hitchdeck_edge.state.registry import Registry
 
 FLEET_SIZE_WINDOW_SECONDS = 30.0
-"""How long boxes that no longer attend count as part of the fleet."""
+"""How long boxes that have disconnected count as part of the fleet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
 
 
 class FleetSize:
-    """The largest number of entry boxes of late.
+    """Largest recent number of entry boxes.
 
-    Boxes that are out of reach of a hub may be scheduled for by another one.
+    Boxes that this hub can't reach may be served by another scheduler.
     """
 
     def __init__(self, count: Callable[[], int], now: Clock) -> None:
@@ -43,7 +43,7 @@
         self.counted_at = now()
 
     def largest(self) -> int:
-        """Return the largest number of boxes in ``FLEET_SIZE_WINDOW_SECONDS``."""
+        """Return the largest number of boxes within ``FLEET_SIZE_WINDOW_SECONDS``."""
         count = self.count()
         if (
             count >= self.most
@@ -55,7 +55,7 @@
 
 
 class PlacingService(PlacingBase):
-    """Serves the streams of all boxes that this hub schedules for."""
+    """Serves the streams of all entry boxes that use this hub's scheduler."""
 
     def __init__(self, scheduler: Scheduler, fleet: FleetSize) -> None:
         self.scheduler = scheduler
@@ -71,7 +71,9 @@
             return
         self.streams += 1
         box = _Box(f'{first.box}#{self.streams}', first.domain)
-        logs.info('box is scheduled for', attendee=box.name, open=len(first.open))
+        logs.info(
+            'box opened a scheduler stream', attendee=box.name, open=len(first.open)
+        )
         self.connected += 1
         try:
             await self._serve(box, first, stream)
@@ -80,7 +82,7 @@
             self.scheduler.leave(box.name)
 
     def fleet_fraction(self) -> float:
-        """Return the part of the fleet's boxes that this hub schedules for."""
+        """Return the fraction of the fleet's boxes that use this scheduler, 0 to 1."""
         return min(1, self.connected / max(1, self.fleet.largest()))
 
     async def _serve(
@@ -129,7 +131,7 @@
     registry: Registry,
     connected_boxes: ConnectedBoxes,
 ) -> PlacingService:
-    """Return the service of a hub, with a scheduler of its own."""
+    """Return the service of a hub, with its own scheduler."""
     scheduler = new_scheduler(settings, documents, registry)
     return PlacingService(
         scheduler, FleetSize(connected_boxes.box_count, scheduler.now)
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -1,4 +1,4 @@
-"""Puts a hub together and runs it."""
+"""Assembly and lifecycle of a hub."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -46,20 +46,30 @@
 from hitchdeck_edge.settings import HubSettings
 
 ADDRESS_TTL_SECONDS = 2
-"""How long callers keep addresses: some keep them three times as long, and a
-planned stop must outlast that within a grace of some seconds."""
+"""Time for which callers may cache addresses, at most.
+
+Some callers keep them three times as long, and a planned stop has to wait for these
+within a grace period of some seconds.
+"""
 
 STARTUP_WAIT_SECONDS = 1.0
-"""After its start a hub names no addresses for so long: boxes attend within
-some tenths of a second, and the first ones would get every caller."""
+"""Time after its start during which a hub returns no addresses.
+
+Boxes connect within some tenths of a second, and the first ones would get every caller.
+"""
 
 
 @dataclass(slots=True)
 class Hub:
     """A running hub.
 
-    ``last_counts`` is how many boxes callers of each domain were told of last: of
-    their own domain, and of others.
+    Attributes
+    ----------
+    started
+        When the hub started, in seconds since the machine booted.
+    last_counts
+        Numbers of addresses last selected for callers of each domain: of their own
+        domain, and of others.
     """
 
     settings: HubSettings
@@ -79,7 +89,7 @@
     def entry_addresses(
         self, caller: CallerKey, domain: str, host: str, most: int
     ) -> list[Address]:
-        """Return where a caller may go; nothing until boxes had time to attend."""
+        """Return the addresses for a caller; none until boxes had time to connect."""
         if boot_seconds() - self.started < STARTUP_WAIT_SECONDS:
             return []
         homes = self.state.documents.table.homes(host)
@@ -93,11 +103,11 @@
         return without_overloaded(caller, selection, entries)
 
     def address_seconds(self) -> float:
-        """Return how long callers may keep what ``entry_addresses`` told."""
+        """Return how long callers may cache the addresses, in seconds."""
         return min(ADDRESS_TTL_SECONDS, self.settings.address_ttl)
 
     def metrics_text(self) -> str:
-        """Return counters in the Prometheus text form."""
+        """Return metrics in the Prometheus text format."""
         replica = self.replica
         connected_boxes = self.state.connected_boxes
         metrics = {
@@ -118,7 +128,7 @@
         return ''.join(f'hitchdeck_{name} {metrics[name]}\n' for name in metrics)
 
     async def stop(self) -> None:
-        """Stop serving, then the tasks, then close the files."""
+        """Close the servers, then stop the tasks, then close connections and files."""
         for server in self.servers:
             server.close()
         await self.supervisor.stop()
@@ -153,7 +163,7 @@
 
 
 async def start_hub(settings: HubSettings, read: Callable[[bytes], Document]) -> Hub:
-    """Start a hub; ``read`` decodes the operator's documents.
+    """Start a hub; ``read`` decodes operators' documents.
 
     Raises
     ------
@@ -181,8 +191,8 @@
             state.connected_boxes,
         ),
         replica=replica,
-        # A full disk is none of these: the task that syncs ended for good with it,
-        # and the hub, once elected, committed nothing for 15 s and more.
+        # A full disk is not fatal: when it ended the task that syncs the log for good,
+        # the hub, once elected, committed nothing for 15 s and more.
         supervisor=Supervisor('hub', fatal=(DiskFailedError,)),
         links=_links(settings, replica),
     )
--- a/packages/edge/src/hitchdeck_edge/hub/replica.py
+++ b/packages/edge/src/hitchdeck_edge/hub/replica.py
@@ -1,4 +1,4 @@
-"""The replica of a hub that has a disk."""
+"""Creation of the replica of a hub that has a disk."""
 
 from pathlib import Path
 
@@ -15,14 +15,14 @@
 from hitchdeck_edge.state.evacuations import Evacuations
 
 SNAPSHOT_EVERY = 40
-"""Log entries: each holds a whole document, and disks are small."""
+"""Log entries between snapshots: each holds a whole document, and disks are small."""
 
 ORIGIN = 'log'
-"""Where the log says that committed news comes from."""
+"""Origin that log lines give for committed state."""
 
 
 def group_folder(data_folder: Path) -> Path:
-    """Return where the group's files are."""
+    """Return the folder of the replicated group's files."""
     return data_folder / 'group'
 
 
@@ -31,7 +31,7 @@
     documents: Documents,
     evacuations: Evacuations,
 ) -> Replica | None:
-    """Open the replica under the data folder; ``None`` without a disk.
+    """Open the replica in the data folder; return ``None`` without a data folder.
 
     Raises
     ------
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -1,8 +1,8 @@
-"""The hub's side of a box's stream.
+"""gRPC service of a hub that sends fleet state to boxes and to other hubs.
 
-Each stream carries what the box lacks: the newest document, upstreams that
-changed since the last frame, and, to boxes that report here, the sum of what
-the rest of the fleet reports.  News goes out at once, the rest at intervals.
+Each frame carries what the peer lacks: the newest document, upstreams that changed
+since the last frame, and, for boxes that report to this hub, the total load and demand
+of the rest of the fleet.  Updates are sent at once, totals at intervals.
 """
 
 import asyncio
@@ -29,12 +29,22 @@
 BoxStream = Stream[BoxFrame, HubFrame]
 
 FRAME_INTERVAL_SECONDS = 0.04
-"""Least time between two frames of one stream: news comes in bursts."""
+"""Minimum interval between two frames of a stream: updates come in bursts."""
 
 
 @dataclass(slots=True)
 class HubState:
-    """What a hub knows; ``news`` wakes every stream."""
+    """Fleet state that a hub knows.
+
+    Attributes
+    ----------
+    durable
+        Whether the hub has a disk.
+    founder
+        Hub that is to found the replicated group; empty if none is named.
+    changed
+        Notified on each change; wakes every stream.
+    """
 
     address: Address
     domain: str
@@ -49,7 +59,7 @@
 
 
 def new_state(settings: HubSettings, read: ReadDocument) -> HubState:
-    """Return what a hub knows when it starts; ``read`` decodes documents."""
+    """Return the empty state of a hub; ``read`` decodes documents."""
     changed = Signal()
     documents = Documents(read, changed)
     registry = Registry(boot_seconds, changed)
@@ -68,7 +78,7 @@
 
 @dataclass(slots=True)
 class _Sent:
-    """What one stream has sent so far."""
+    """Versions of what one stream has sent so far."""
 
     document: int = 0
     evacuations: int = 0
@@ -79,7 +89,7 @@
 
 
 class SpreadService(SpreadBase):
-    """Serves the streams of all boxes."""
+    """Serves the streams of all entry boxes and other hubs."""
 
     def __init__(self, state: HubState) -> None:
         self.state = state
@@ -114,7 +124,7 @@
         if frame.HasField('quarantine'):
             news = decode_news(frame.quarantine, state.quarantine.now())
             ended = state.quarantine.take(news, connected_box.hello.box)
-            # Only what is news: a box tells all it knows each time that it comes.
+            # Only for crashes that are new: a box sends all it knows on each connect.
             for life in ended:
                 state.registry.suspect(life)
         for record in frame.suspicions:
@@ -128,14 +138,14 @@
                 await stream.send_message(self._next_frame(connected_box, sent))
                 await self._wait(connected_box, seen)
         except TRANSPORT_ERRORS:
-            # The receiving side sees the same end and logs that the box left.
+            # The receiver sees the same error, and the box is then unregistered.
             return
 
     async def _wait(self, connected_box: ConnectedBox, seen: int) -> None:
-        """Wait until a box is to be sent a frame, of news or of none.
+        """Wait until the next frame of a stream is due, with updates or without.
 
-        Boxes of other domains hear news at once from hubs of their own; this hub
-        sends it with the next idle frame, in case they reach none of these.
+        Boxes of other domains get updates at once from hubs of their own domain.  This
+        hub sends them with the next idle frame, in case they reach none of those.
         """
         await asyncio.sleep(FRAME_INTERVAL_SECONDS)
         interval = self._send_interval(connected_box) - FRAME_INTERVAL_SECONDS
--- a/packages/edge/src/hitchdeck_edge/hub/state_file.py
+++ b/packages/edge/src/hitchdeck_edge/hub/state_file.py
@@ -1,10 +1,9 @@
-"""What a hub keeps on its disk for the moment of a restart.
+"""State that a hub writes to its disk to be able to serve right after a restart.
 
-The log says what was appended; what of it is committed is known only once a
-leader is elected, a second or more after all hubs have lost power.  A document
-kept here was committed, so boxes may serve under it at once.  Upstreams report
-themselves every second or so; until they have, the fleet would send everything
-to the first that did.
+The log holds what was appended, but which entries are committed is known only once a
+leader is elected, a second or more after all hubs have lost power.  A document in these
+files was committed, so boxes may use it at once.  Upstreams report about once a second;
+without a stored list, the fleet would send all requests to the first that reports.
 """
 
 import asyncio
@@ -30,21 +29,27 @@
 from hitchdeck_edge.state.registry import Registry
 
 WRITE_RETRY_SECONDS = 1.0
-"""Pause after the disk refused; what comes next is newer anyway."""
+"""Delay after a failed write; the next write holds the then newest state."""
 
 WRITE_INTERVAL_SECONDS = 0.2
-"""Between two writes of one file, so that a burst of changes costs few."""
+"""Minimum interval between writes of a file: combines a burst of changes."""
 
 ORIGIN = 'disk'
-"""Where the log says that recalled news comes from."""
+"""Origin that log lines give for restored state."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateCodec:
-    """What a file keeps, as functions.
-
-    ``version`` grows with each change of it, ``encode`` returns it, and
-    ``restore`` takes it back.
+    """Functions that read and write the state stored in a file.
+
+    Attributes
+    ----------
+    version
+        Returns a number that grows with each change of the state.
+    encode
+        Returns the state as bytes.
+    restore
+        Applies the state from bytes.
     """
 
     version: Callable[[], int]
@@ -53,7 +58,7 @@
 
 
 class StateFile:
-    """A file that is replaced as a whole when what it keeps has changed."""
+    """A file that is replaced as a whole whenever its state has changed."""
 
     def __init__(self, path: Path, codec: StateCodec, changed: Signal) -> None:
         self.path = path
@@ -62,7 +67,7 @@
         self.written = 0
 
     def restore(self) -> None:
-        """Take back what the file holds, if it is whole."""
+        """Apply the state in the file, unless it is missing or damaged."""
         try:
             content = self.path.read_bytes()
         except OSError as error:
@@ -71,7 +76,7 @@
         for payload in unframe(content):
             if isinstance(payload, Damage):
                 logs.warning(
-                    'kept file damaged',
+                    'state file damaged',
                     file=self.path.name,
                     offset=payload.offset,
                 )
@@ -80,7 +85,7 @@
         self.written = self.codec.version()
 
     async def run(self) -> None:
-        """Write each newer state; for ever."""
+        """Write the state whenever it has changed; runs forever."""
         while True:
             if self.written < self.codec.version():
                 await self._write()
@@ -90,8 +95,10 @@
         try:
             self.codec.restore(payload)
         except (DecodeError, ValueError) as error:
-            # Whole on the disk, and yet not what this version writes.
-            logs.warning('kept file unreadable', file=self.path.name, reason=str(error))
+            # The checksum is right, but another version of the software wrote the file.
+            logs.warning(
+                'state file not decodable', file=self.path.name, reason=str(error)
+            )
 
     async def _write(self) -> None:
         version = self.codec.version()
@@ -99,7 +106,9 @@
         try:
             await _wait_for_thread(asyncio.to_thread(replace_file, self.path, content))
         except OSError as error:
-            logs.warning('file not kept', file=self.path.name, reason=repr(error))
+            logs.warning(
+                'state file not written', file=self.path.name, reason=repr(error)
+            )
             await asyncio.sleep(WRITE_RETRY_SECONDS)
             return
         self.written = version
@@ -122,10 +131,10 @@
 
 
 def upstreams_file(folder: Path, registry: Registry) -> StateFile:
-    """Return the file of all upstreams, ended ones too.
+    """Return the file of all upstreams, including those that are gone.
 
-    They count as heard of at the recall, so those that report no more fall
-    silent soon after.
+    Restored upstreams count as just heard from; those that no longer report are
+    suspected soon afterwards.
     """
 
     def encode() -> bytes:
@@ -144,7 +153,7 @@
 
 
 def evacuations_file(folder: Path, evacuations: Evacuations) -> StateFile:
-    """Return the file of the newest committed orders on failure domains."""
+    """Return the file of the newest committed evacuation orders."""
 
     def encode() -> bytes:
         return bytes(evacuations.message().SerializeToString())
@@ -157,9 +166,10 @@
 
 
 def quarantine_file(folder: Path, quarantine: Quarantine) -> StateFile:
-    """Return the file of the verdicts on contents.
+    """Return the file of the quarantine verdicts.
 
-    Without it three more upstreams would end after all hubs have lost power.
+    Without it a quarantined request would crash three more upstreams after all hubs
+    have lost power.
     """
 
     def encode() -> bytes:
@@ -175,7 +185,7 @@
 
 
 async def _wait_for_thread(work: Coroutine[Any, Any, None]) -> None:
-    """Wait for a thread's work, also when cancelled: it goes on all the same."""
+    """Wait for work in a thread, which cancellation can't stop, even if cancelled."""
     task = asyncio.create_task(work)
     try:
         await asyncio.shield(task)
--- a/packages/edge/src/hitchdeck_edge/hub/state_machine.py
+++ b/packages/edge/src/hitchdeck_edge/hub/state_machine.py
@@ -1,10 +1,11 @@
-"""The replicated state of a hub: the newest document, and evacuation orders.
+"""Replicated state of the hubs: the newest document, and evacuation orders.
 
-Of documents the highest version wins, and the first content committed under a version
-is the one that stays; the log decides which of two operators was first.
+The document with the highest version wins.  For one version the content that is
+committed first stays: the log decides which of two operators was first.
 
-An order names the edition that its hub knew when it was read.  Where a later order on
-the same domain has been committed since, it is a delayed repeat and has no effect.
+An order carries the edition that its hub knew when it received the order.  If a later
+order on the same domain has been committed since, the order is a delayed retry and has
+no effect.
 """
 
 import zlib
@@ -30,7 +31,7 @@
 
 
 class GroupStateMachine:
-    """Applies log entries, in log order, the same on every replica."""
+    """Applies log entries in log order, with the same result on every replica."""
 
     def __init__(
         self,
@@ -44,9 +45,9 @@
         self.evacuations_committed = evacuations_committed
 
     def apply(self, command: bytes) -> bool:
-        """Apply one entry, and tell whether what it asks for holds now.
+        """Apply one entry; return whether the state that it requests is in force.
 
-        An entry without content is a new leader's first.
+        A new leader commits an entry without content first.
         """
         entry = GroupEntry.FromString(command)
         if entry.HasField('order'):
@@ -62,7 +63,7 @@
         return state.SerializeToString()
 
     def load(self, encoded: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         state = GroupEntry.FromString(encoded)
         self._apply_document(state)
         if state.evacuations.edition > self.edition:
@@ -92,5 +93,5 @@
 
 
 def pack_document(version: DocumentVersion, text: bytes) -> DocumentMessage:
-    """Return a document as it is kept and sent."""
+    """Return a document compressed, as it is stored and sent."""
     return DocumentMessage(version=version, body=zlib.compress(text))
