--- a/packages/edge/src/hitchdeck_edge/links/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/links/__init__.py
@@ -1,1 +1,1 @@
-"""Streams from a box to the hubs."""
+"""Streams from a box to the hubs and to the scheduler."""
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -1,4 +1,4 @@
-"""What an entry box says to hubs, and does with what they say."""
+"""Frames that an entry box exchanges with the hubs."""
 
 import math
 import secrets
@@ -23,14 +23,32 @@
 from hitchdeck_edge.state.tallies import Tally, tally_of
 
 DIGEST_TTL_SECONDS = 5.0
-"""How long a box goes by the last sum of what the others have open, when no hub
-passes it on.  Taking the others to do as itself, the only box in reach of a
-flooded domain expected 24 times its own queue and refused 74 of 100 requests
-while engines were free."""
+"""How long a box uses the last totals of the other boxes if no hub relays new ones.
+
+Afterwards it assumes that the others have the same load as itself.  With that assumption
+from the start, the only reachable box of an overloaded domain estimated 24 times its own
+queue and rejected 74 of 100 requests while engines were free.
+"""
 
 
 class EntryLink:
-    """An entry box, as the hubs see it."""
+    """Represents this entry box on its streams to the hubs.
+
+    Attributes
+    ----------
+    ready
+        Whether callers may be sent to this box.
+    wake
+        Sends the next frames at once when notified.
+    sent_positions
+        Position in the quarantine's updates up to which each hub has been sent them.
+    sent_changes
+        Change number of the registry up to which each hub has been sent suspicions.
+    report_hub
+        Hub that last relayed the totals of the other boxes.
+    digest_at
+        When these totals last arrived, in seconds.
+    """
 
     def __init__(
         self,
@@ -53,7 +71,7 @@
         self._assume_others_alike()
 
     def stream_handlers(self, known_hubs: KnownHubs) -> StreamHandlers:
-        """Return how this box attends the hubs."""
+        """Return the handlers for the streams to the hubs."""
 
         def on_frame(address: Address, frame: HubFrame) -> None:
             self._apply_frame(
@@ -90,13 +108,13 @@
         return frame
 
     def on_loss(self, hub: Address) -> None:
-        """Go by what was last heard for a while, then by this box's own books."""
+        """Handle the loss of a hub: the last totals are used until they expire."""
         if hub == self.report_hub:
             self.report_hub = None
         self._expire_digest()
 
     def announce(self, *, ready: bool) -> None:
-        """Tell every hub at once whether callers may be sent here."""
+        """Notify every hub at once whether callers may be sent to this box."""
         if ready != self.ready:
             self.ready = ready
             self.wake.notify()
@@ -116,15 +134,15 @@
         self._set_others(tally_of(frame), alike=1)
 
     def _expire_digest(self) -> None:
-        """Stop to count on what the others had open too long ago."""
+        """Drop the totals of the other boxes once they are too old."""
         if self.known.books.now() - self.digest_at > DIGEST_TTL_SECONDS:
             self._assume_others_alike()
 
     def _assume_others_alike(self) -> None:
-        """Take the other boxes to do as this one, while nothing tells.
+        """Assume the same load on the other boxes as on this one.
 
-        Otherwise each box would take all engines for its own: after a restart
-        a quarter of what boxes placed by themselves began late.
+        Otherwise each box would count all engines as its own: after a restart, a
+        quarter of the requests that boxes placed by themselves started late.
         """
         self._set_others(Tally(), alike=max(1, self.budget.boxes))
 
@@ -137,7 +155,7 @@
         shares.alike = alike
 
     def _add_quarantine(self, hub: Address, frame: BoxFrame) -> None:
-        """Add what a hub lacks of the ends and verdicts that this box knows."""
+        """Add the crashes and verdicts that a hub has not been sent yet."""
         quarantine = self.known.quarantine
         position = self.sent_positions.get(hub, NOTHING)
         news, self.sent_positions[hub] = quarantine.news_since(position)
@@ -145,9 +163,9 @@
             frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
 
     def _add_suspicions(self, hub: Address, frame: BoxFrame) -> None:
-        """Add the suspected crashes that a hub may be able to clear.
+        """Add suspected crashes, for the hub that gets the reports to clear them.
 
-        The hub that raised one may be cut off from the one that gets the reports.
+        The hub that raised a suspicion may be partitioned from that hub.
         """
         registry = self.known.registry
         last_change = self.sent_changes.get(hub, 0)
--- a/packages/edge/src/hitchdeck_edge/links/hub_frames.py
+++ b/packages/edge/src/hitchdeck_edge/links/hub_frames.py
@@ -1,4 +1,4 @@
-"""What every box does with news from a hub."""
+"""Processing of frames from hubs, common to entry boxes and hubs."""
 
 from typing import Protocol
 
@@ -14,31 +14,31 @@
 
 
 class SharedState(Protocol):
-    """What hubs and boxes alike know of the fleet."""
+    """Fleet state that hubs and entry boxes have in common."""
 
     @property
     def documents(self) -> Documents:
-        """Return the configuration."""
+        """Return the documents, which hold the configuration."""
 
     @property
     def evacuations(self) -> Evacuations:
-        """Return the orders on failure domains."""
+        """Return the evacuation orders on failure domains."""
 
     @property
     def registry(self) -> Registry:
-        """Return the upstreams."""
+        """Return the registry of upstreams."""
 
     @property
     def quarantine(self) -> Quarantine:
-        """Return the verdicts on contents."""
+        """Return the quarantine with its verdicts."""
 
 
 def apply_hub_frame(hub: Address, frame: HubFrame, known: SharedState) -> None:
-    """Take newer documents, orders, upstreams and verdicts from a hub's frame."""
+    """Merge the document, orders, upstreams and verdicts of a hub's frame."""
     if frame.HasField('document'):
         version = DocumentVersion(int(frame.document.version))
         known.documents.offer(version, frame.document.body, hub)
-    # Before the upstreams: none of an evacuated domain is to be used meanwhile.
+    # Before the upstreams, so that none of an evacuated domain is used meanwhile.
     known.evacuations.offer(frame.evacuations, hub)
     for upstream in decode_upstreams(frame.upstreams):
         known.registry.merge(upstream, hub)
--- a/packages/edge/src/hitchdeck_edge/links/hub_streams.py
+++ b/packages/edge/src/hitchdeck_edge/links/hub_streams.py
@@ -1,8 +1,7 @@
-"""A box's streams to the hubs: one task for each hub, for ever.
+"""Streams from a box to every hub, with one permanent task per hub.
 
-Every box attends every hub.  A hub that is cut off from the others may be
-the only one that a box reaches, and a box must hear of a leaving upstream
-from whichever hub was told.
+A hub that is partitioned from the others may be the only one that a box reaches, and a
+box must learn that an upstream drains from whichever hub was notified.
 """
 
 import asyncio
@@ -22,32 +21,39 @@
 from hitchdeck_edge.links.known_hubs import KnownHubs
 
 MAX_MISSED_FRAMES = 3
-"""Idle frames that must be missing before a link counts as cut."""
+"""Idle intervals without a frame after which a peer counts as lost."""
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""A hub in reach answers within some milliseconds."""
+"""Timeout of a connect: a reachable hub responds within some milliseconds."""
 
 MIN_RETRY_DELAY_SECONDS = 0.05
-"""Pause before a hub is tried again that was just lost, or not yet reached;
-doubled with each further try: boxes that start at once with the hubs need the
-document before they can serve."""
+"""Initial reconnect delay, doubled with each further attempt.
+
+It is short as boxes that start together with the hubs can't serve before they have the
+document.
+"""
 
 MAX_RETRY_DELAY_SECONDS = 0.25
-"""The longest such pause; a hub may be back within a second."""
+"""Maximum reconnect delay: a hub may be back within a second."""
 
 REPORT_INTERVAL_SECONDS = 0.5
-"""Between two frames to the hub that passes reports on.  They serve boxes that
-no scheduler places for; their bytes and processor time are the price."""
+"""Interval of frames to the hub that relays a box's reports.
+
+Reports are needed only by boxes without a scheduler, so the interval limits their cost
+in bytes and processor time.
+"""
 
 RELAY_INTERVAL_SECONDS = 0.5
-"""Between two frames from hub to hub: these cross failure domains."""
+"""Interval of frames between hubs: these cross failure domains."""
 
 IDLE_INTERVAL_SECONDS = 0.5
-"""Between two frames to any other hub of the domain, and between hubs."""
+"""Interval of idle frames between a box and a hub of its domain, and between hubs."""
 
 OTHER_DOMAIN_IDLE_INTERVAL_SECONDS = 1.0
-"""Between two idle frames of a box and a hub of another domain.  Only frames
-that say nothing wait for it: news goes out at once."""
+"""Interval of idle frames between a box and a hub of another domain.
+
+Of a box's frames only idle ones wait for it: updates are sent at once.
+"""
 
 LINK_ERRORS = (LinkError, *TRANSPORT_ERRORS)
 
@@ -56,13 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamHandlers:
-    """What a box says to hubs and does with what they say, as functions.
-
-    ``next_frame`` gets whether the hub is the one that passes reports on, and
-    whether the frame is the first on its stream.  ``idle_interval`` is the time in
-    seconds between two frames that say nothing, on either side, given whether
-    the hub is of the box's domain; ``send_interval`` that between the box's own, given
-    the same and whether it reports there; ``wake`` cuts it short.
+    """Functions that compose and process the frames of a box's streams.
+
+    Attributes
+    ----------
+    next_frame
+        Returns the next frame, given the hub's address, whether the hub relays this
+        box's reports, and whether the frame is the first on its stream.
+    on_frame
+        Processes a frame from a hub.
+    on_loss
+        Called when a hub is lost or can't be reached.
+    wake
+        Sends the next frame at once when notified.
+    idle_interval
+        Returns the interval of idle frames on either side, in seconds, given whether
+        the hub is in the box's failure domain.
+    send_interval
+        Returns the interval of the box's own frames, in seconds, given the same and
+        whether the hub relays this box's reports.
     """
 
     next_frame: Callable[[Address, bool, bool], BoxFrame]
@@ -74,7 +92,7 @@
 
 
 class HubStreams:
-    """Keeps a stream to every hub that is known."""
+    """Keeps a stream to every known hub."""
 
     def __init__(
         self, known_hubs: KnownHubs, stream_handlers: StreamHandlers, token: str
@@ -85,7 +103,7 @@
         self.tasks = Supervisor('hubs')
 
     async def run(self) -> None:
-        """Attend every hub in the book; for ever."""
+        """Keep one task per known hub; runs forever."""
         try:
             while True:
                 self._update_tasks()
@@ -117,7 +135,7 @@
         return stream_task
 
     def _record_loss(self, address: Address, error: Exception) -> float:
-        """Note a failure; return the pause after it, 0 if it is not the first."""
+        """Record a failure; return the reconnect delay, 0 to keep the current one."""
         was_reachable = self.known_hubs.is_reachable(address)
         if was_reachable:
             logs.warning('hub lost', hub=address, reason=repr(error))
@@ -169,20 +187,20 @@
 
 
 def box_idle_interval(same_domain: bool) -> float:
-    """Return the time between idle frames of an entry box and a hub, in seconds."""
+    """Return the interval of idle frames between an entry box and a hub, in seconds."""
     return IDLE_INTERVAL_SECONDS if same_domain else OTHER_DOMAIN_IDLE_INTERVAL_SECONDS
 
 
 def box_send_interval(same_domain: bool, is_report_hub: bool) -> float:
-    """Return the pause of an entry box, in seconds."""
+    """Return the interval of an entry box's frames to a hub, in seconds."""
     return REPORT_INTERVAL_SECONDS if is_report_hub else box_idle_interval(same_domain)
 
 
 def hub_idle_interval(same_domain: bool) -> float:
-    """Return the time between idle frames of two hubs, in seconds."""
+    """Return the interval of idle frames between two hubs, in seconds."""
     return IDLE_INTERVAL_SECONDS
 
 
 def hub_send_interval(same_domain: bool, is_report_hub: bool) -> float:
-    """Return the pause of a hub, which passes reports on to every other."""
+    """Return the interval at which a hub relays reports to another, in seconds."""
     return RELAY_INTERVAL_SECONDS
--- a/packages/edge/src/hitchdeck_edge/links/known_hubs.py
+++ b/packages/edge/src/hitchdeck_edge/links/known_hubs.py
@@ -1,4 +1,4 @@
-"""Which hubs a box knows, which of them it reaches, and which is nearest."""
+"""The hubs that a box knows: which are reachable, schedule, or relay its reports."""
 
 from collections.abc import Iterable
 
@@ -8,22 +8,37 @@
 from hitchdeck_core.signals import Signal
 
 LEARNED_HUB_TTL_SECONDS = 60.0
-"""How long a hub is tried that no other hub names any more: longer than any
-outage after which it may come back at its address."""
+"""How long a learned hub is kept after other hubs last named it.
 
+This is longer than any outage after which a hub may return at its address.
+"""
 
 FIRST_EXCLUSION_SECONDS = 1.0
-"""After a first loss: about as long as the restart of a hub takes."""
+"""Exclusion after a first loss: about the time that a hub takes to restart."""
 
 REPEAT_EXCLUSION_SECONDS = 8.0
-"""After another loss soon after: links lose packets for some seconds."""
+"""Exclusion after a further loss soon after: packet loss lasts for some seconds."""
 
 
 class KnownHubs:
-    """Addresses of hubs: those from the settings and those learned.
-
-    ``same_domain`` holds the hubs of the box's own failure domain, as far as known,
-    and ``own`` is this process's address if it is a hub itself.
+    """Addresses of hubs, from the settings and learned from other hubs.
+
+    Attributes
+    ----------
+    own
+        Address of this process if it is a hub itself.
+    learned
+        When each learned hub was last named by another hub, in seconds.
+    reachable
+        Hubs with an established stream.
+    same_domain
+        Hubs known to be in the box's own failure domain.
+    durable
+        Hubs known to have a disk.
+    excluded_until
+        Until when each lost scheduler is not used again, in seconds.
+    changed
+        Notified when hubs are added, removed or reached.
     """
 
     def __init__(
@@ -46,28 +61,28 @@
         self.changed = Signal()
 
     def addresses(self) -> list[Address]:
-        """Return every hub to attend, without this process itself."""
+        """Return every hub to connect to, without this process itself."""
         return sorted((self.seeds | set(self.learned)) - {self.own})
 
     def is_reachable(self, address: Address) -> bool:
-        """Tell whether a hub answers."""
+        """Tell whether the stream to a hub is established."""
         return address in self.reachable
 
     def is_same_domain(self, address: Address) -> bool:
-        """Tell whether a hub is of the box's own failure domain, as far as known."""
+        """Tell whether a hub is known to be in the box's failure domain."""
         return address in self.same_domain
 
     def set_properties(self, address: Address, domain: str, *, durable: bool) -> None:
-        """Note a hub's failure domain, and whether it has a disk."""
+        """Record the failure domain of a hub and whether it has a disk."""
         if domain == self.domain:
             self.same_domain.add(address)
         if durable:
             self.durable.add(address)
 
     def scheduler(self) -> Address | None:
-        """Return the hub that schedules: the same for all who reach the same.
+        """Return the hub that schedules; boxes that reach the same hubs agree on it.
 
-        Hubs with a disk go first: theirs are the larger boxes.
+        Hubs with a disk are preferred, as they run on larger boxes.
         """
         eligible = {one for one in self.reachable if not self._is_excluded(one)}
         candidates = eligible & self.durable or eligible or self.reachable
@@ -76,10 +91,10 @@
         return Address(ranked('scheduler', candidates)[0])
 
     def exclude_scheduler(self, address: Address) -> None:
-        """Let another hub schedule for a while, after this one was lost.
+        """Exclude a lost hub from scheduling for a while, so that another one is used.
 
-        The first loss may be its restart; over a link that loses packets it
-        would be lost again and again, so each further one counts for longer.
+        A first loss may be a restart of the hub.  A link with packet loss would lose
+        it repeatedly, so a further loss excludes it for longer.
         """
         until = self.excluded_until.get(address, 0)
         again = self.now() - until < REPEAT_EXCLUSION_SECONDS
@@ -87,21 +102,21 @@
         self.excluded_until[address] = self.now() + pause
 
     def mark_reachable(self, address: Address) -> None:
-        """Note that a hub answers."""
+        """Record that the stream to a hub is established."""
         self.reachable.add(address)
         self.changed.notify()
 
     def mark_unreachable(self, address: Address) -> None:
-        """Note that a hub does not answer.
+        """Record that a hub is unreachable.
 
-        When it does again it is as good as new: boxes that had lost it once
-        and those that had lost it twice must agree on one scheduler.
+        This also ends its exclusion: once it is reachable again, boxes that lost it
+        once and boxes that lost it twice have to agree on one scheduler.
         """
         self.reachable.discard(address)
         self.excluded_until.pop(address, None)
 
     def add_learned(self, addresses: Iterable[Address]) -> None:
-        """Add hubs that another hub named, drop those not named for long."""
+        """Add hubs named by another hub; drop unreachable ones not named recently."""
         known = set(self.learned)
         now = self.now()
         self.learned.update((address, now) for address in addresses)
@@ -115,14 +130,14 @@
             self.changed.notify()
 
     def replace_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take new seeds from changed settings."""
+        """Replace the seeds after a change of the settings."""
         self.seeds = set(seeds)
         self.changed.notify()
 
     def report_hub(self) -> Address | None:
-        """Return the hub that gets this box's reports: near, then any.
+        """Return the hub that relays this box's reports: in its domain if possible.
 
-        Boxes spread over the hubs of their domain by hash.
+        Boxes are spread over the hubs of their domain by rendezvous hashing.
         """
         candidates = self.reachable & self.same_domain or self.reachable
         if not candidates:
--- a/packages/edge/src/hitchdeck_edge/links/outbox.py
+++ b/packages/edge/src/hitchdeck_edge/links/outbox.py
@@ -1,4 +1,4 @@
-"""What a box has yet to tell its scheduler, and when the next frame is due."""
+"""Queue of messages from a box to its scheduler, combined into frames."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from hitchdeck_core.wire.spread_pb2 import Wanted as WantedMessage
 
 PROGRESS_DELAY_SECONDS = 0.02
-"""Word of progress waits so long for a frame to go with."""
+"""Maximum delay of progress messages, which are combined with other messages."""
 
 
 class Outbox:
@@ -16,9 +16,11 @@
     Attributes
     ----------
     frame
-        What it says so far.
+        Messages queued so far.
     due
-        Whether it is to be sent now.
+        Whether the frame is to be sent now.
+    became_due
+        Notified when the frame becomes due.
     """
 
     def __init__(self) -> None:
@@ -27,33 +29,33 @@
         self.became_due = Signal()
 
     def add_query(self, query: WantedMessage) -> None:
-        """Send a question at once, and what waits with it."""
+        """Queue a query, and send it at once with all queued messages."""
         self.frame.wanted.append(query)
         self._make_due()
 
     def add_progress(self, progress: PlacingFrame) -> None:
-        """Send word with the next frame, a little later at the latest."""
+        """Queue progress for the next frame, sent after a short delay at the latest."""
         if not self.frame.ByteSize():
             loop = asyncio.get_running_loop()
             loop.call_later(PROGRESS_DELAY_SECONDS, self._make_due)
         self.frame.MergeFrom(progress)
 
     async def wait(self, seconds: float) -> None:
-        """Return when a frame is due, or so many seconds later."""
+        """Wait until a frame is due, at most for the given seconds."""
         if not self.due:
             await self.became_due.wait(seconds)
-        # Before the frame is looked at: it may become due while one is sent.
+        # Reset before the frame is taken: a new one may become due during the send.
         self.due = False
 
     def take(self) -> PlacingFrame | None:
-        """Return the frame and begin the next one; ``None`` if it is empty."""
+        """Return the frame and start the next one; ``None`` if it is empty."""
         if not self.frame.ByteSize():
             return None
         frame, self.frame = self.frame, PlacingFrame()
         return frame
 
     def clear(self) -> None:
-        """Forget what waits: a new scheduler is told all in its first frame."""
+        """Drop queued messages: the first frame to a new scheduler holds everything."""
         self.frame = PlacingFrame()
 
     def _make_due(self) -> None:
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -1,4 +1,4 @@
-"""A box's stream to the scheduler: one question and one answer a request."""
+"""Stream from a box to the scheduler: one query and one answer per request."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,45 +33,61 @@
 from hitchdeck_edge.state.registry import Registry
 
 ANSWER_TIMEOUT_SECONDS = 0.06
-"""For one answer; a round between failure domains takes some 5 ms, and a
-request that waits longer is better placed by its own box."""
+"""Timeout of one answer.
+
+A round trip between failure domains takes some 5 ms, and a request that waits longer is
+better placed by its own box.
+"""
 
 LATE_TIMER_SECONDS = 0.02
-"""Lateness of its own timer from which a box is the one that is slow: a box with
-no processor time left took its scheduler for lost and decided alone."""
+"""A timer this late means that the box itself is slow, not the scheduler.
+
+Without this check, a box with no processor time left considered its scheduler lost and
+placed requests by itself.
+"""
 
 MAX_WAITS = 3
-"""Waits for one answer at most, of a box that is late itself."""
+"""Maximum number of waits for one answer, if the box itself is late."""
 
 OVERLOADED_UTILIZATION = 0.7
-"""Part of its time that a box works from which what it notes is late.  Boxes
-that had none left taught the fleet's scheduler that engines were slow, and it
-refused the requests of every domain (0.07 to 0.2 of what was owed was earned in
-the ten seconds after a flood of one domain, and 0.33 to 0.8 before it)."""
+"""Utilization above which the times that a box measures are too late to be used.
+
+From saturated boxes the fleet's scheduler learned that engines were slow, and it
+rejected requests of every domain: callers got 0.07 to 0.2 of their fair share in the
+ten seconds after a surge of one domain, and 0.33 to 0.8 before it.
+"""
 
 MAX_UNANSWERED = 3
-"""Answers missing in a row after which the scheduler counts as lost."""
+"""Consecutive missing answers after which the scheduler counts as lost."""
 
 SEND_TIMEOUT_SECONDS = 0.5
-"""For one frame to be taken by the connection: a hub that reads leaves room."""
+"""Timeout to send one frame: a hub that reads keeps the send buffer from filling."""
 
 MAX_RETRY_DELAY_SECONDS = 0.3
-"""The longest pause before a lost scheduler, or the next one, is tried: it
-ends at once when another hub is reached."""
+"""Maximum delay before a connect to the same or the next scheduler.
+
+The delay ends at once when another hub is reached.
+"""
 
 SCHEDULER_CHECK_SECONDS = 0.5
-"""Between two looks whether another hub has become the scheduler."""
+"""Interval of checks whether another hub has become the scheduler."""
 
 PlacingStream = Stream[PlacingFrame, PlacedFrame]
 
 
 class PlacingLink:
-    """The scheduler, as a box sees it.
+    """Client of the scheduler in an entry box.
 
     Attributes
     ----------
+    scheduler
+        Hub to which the stream is established.
     open
-        Upstream and unread tokens of each request that is open.
+        Upstream and unprocessed prompt tokens of each request in flight, by ticket.
+    waiting
+        Answers that requests wait for, by ticket.
+    unanswered
+        Number of consecutive queries without an answer.
     """
 
     def __init__(
@@ -96,7 +112,7 @@
         self.unanswered = 0
 
     async def place(self, wanted: Wanted) -> Choice | Refusal | None:
-        """Return what the scheduler decides, or ``None`` if it does not answer."""
+        """Return the scheduler's decision, or ``None`` if it does not answer."""
         if self.scheduler is None:
             return None
         ticket = self._new_ticket()
@@ -112,16 +128,16 @@
             self._count_unanswered(ticket)
             return None
         if answer.exception() is not None:
-            # The loss was logged where the link was given up.
+            # The loss has been logged where the stream was closed.
             return None
         self.unanswered = 0
         return self._decision(answer.result())
 
     def track(self, ticket: int, upstream: UpstreamName, unread: int) -> int:
-        """Note a request that is being sent; return its ticket.
+        """Record a request that is being sent; return its ticket.
 
-        One that this box placed by itself gets a ticket too, and the
-        scheduler hears of it.
+        A request that this box placed by itself gets a ticket too, and is reported to
+        the scheduler.
         """
         number = ticket or self._new_ticket()
         work = OpenWork(id=number, upstream=upstream, unread=unread)
@@ -131,7 +147,7 @@
         return number
 
     def record_start(self, ticket: int) -> None:
-        """Note the first event of a request."""
+        """Record the first event of a response."""
         if ticket in self.open:
             self.open[ticket].unread = 0
             progress = PlacingFrame()
@@ -140,30 +156,30 @@
             self._send_progress(progress)
 
     def record_end(self, ticket: int) -> None:
-        """Note the end of a request."""
+        """Record that a request has ended."""
         if self.open.pop(ticket, None) is not None:
             self._send_ended(ticket)
 
     def release(self, ticket: int) -> None:
-        """Note that a request is not sent to where it was placed."""
+        """Report that a request is not sent to the upstream where it was placed."""
         if ticket:
             self._send_ended(ticket)
 
     def report_failure(self, upstream: UpstreamName) -> None:
-        """Note that an upstream broke off or was not reached."""
+        """Report that an upstream aborted a response or was not reached."""
         self._send_progress(PlacingFrame(failed=[upstream]))
 
     async def run(self) -> None:
-        """Keep a stream to the scheduler; for ever."""
+        """Keep a stream to the scheduler; runs forever."""
         while True:
             hub = self.known_hubs.scheduler()
             if hub is None or not await self._keep_stream(hub):
                 await self.known_hubs.changed.wait(MAX_RETRY_DELAY_SECONDS)
 
     async def _wait_for_answer(self, answer: asyncio.Future[Placed]) -> None:
-        """Wait for an answer, and once more if this box itself was late.
+        """Wait for an answer, and wait again if this box itself was late.
 
-        What came meanwhile is read only when the box gets to run.
+        An answer that arrived meanwhile is read only once the event loop runs again.
         """
         for _ in range(MAX_WAITS):
             asked = self.now()
@@ -173,12 +189,12 @@
                 return
 
     async def _keep_stream(self, hub: Address) -> bool:
-        """Attend one scheduler; tell whether another takes its place at once."""
+        """Keep a stream to one scheduler; return whether another hub replaces it."""
         channel = open_channel(hub, self.token)
         try:
             await self._run_stream(hub, channel)
         except SchedulerMovedError:
-            logs.info('scheduler changes', hub=hub)
+            logs.info('another hub became the scheduler', hub=hub)
             return True
         except LINK_ERRORS as error:
             logs.warning('scheduler lost', hub=hub, reason=repr(error))
@@ -217,12 +233,14 @@
             if frame is not None:
                 async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
                     await stream.send_message(frame)
-        raise LinkError(f'stream ended, {self.unanswered} answers missing')
+        raise LinkError(
+            f'stream to the scheduler ended with {self.unanswered} missing answers'
+        )
 
     def _check_scheduler(self, hub: Address) -> None:
         if self.known_hubs.scheduler() != hub:
-            # To leave a stream without an error waits for the hub's last
-            # word, and a hub that is gone has none.
+            # Leaving a stream without an error waits for its trailers, which a hub that
+            # is gone never sends.
             raise SchedulerMovedError(hub)
 
     async def _receive(self, stream: PlacingStream) -> None:
@@ -235,7 +253,7 @@
                 if answer is not None and not answer.done():
                     answer.set_result(placed)
                 elif placed.decision == Decision.DECISION_PLACED:
-                    # It came too late, and the box has chosen by itself.
+                    # The answer is too late: this box has placed the request itself.
                     self._send_ended(placed.id)
 
     def _new_ticket(self) -> int:
@@ -243,7 +261,7 @@
         return self.last_ticket
 
     def _send_progress(self, progress: PlacingFrame) -> None:
-        """Send word with the next frame; the next scheduler asks for all."""
+        """Send progress with the next frame; a new scheduler gets everything anyway."""
         if self.scheduler is not None:
             self.outbox.add_progress(progress)
 
@@ -276,8 +294,8 @@
             return refusal
         upstream = self.registry.records.get(UpstreamName(placed.upstream))
         if upstream is None or not self.registry.takes_work(upstream):
-            # The scheduler knows one that this box has not heard of, or that
-            # may get no work by what this box knows.
+            # The scheduler chose an upstream that this box does not know, or that may
+            # not get requests according to this box's state.
             self._send_ended(placed.id)
             return None
         return decode_choice(placed, upstream)
--- a/packages/edge/src/hitchdeck_edge/links/placing_messages.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing_messages.py
@@ -1,4 +1,4 @@
-"""Placing questions and answers as they travel between box and scheduler."""
+"""Conversion of placement queries and decisions to and from protobuf messages."""
 
 from types import MappingProxyType
 
@@ -22,7 +22,7 @@
 
 
 def encode_wanted(ticket: int, wanted: Wanted) -> WantedMessage:
-    """Return the message that asks for an upstream."""
+    """Return the message of a placement query."""
     message = WantedMessage(
         id=ticket,
         pool=wanted.pool,
@@ -46,7 +46,7 @@
 
 
 def decode_wanted(message: WantedMessage, domain: str, slots: int) -> Wanted:
-    """Return what a message asks for, on behalf of a box in a domain."""
+    """Return the placement query of a message from a box in a failure domain."""
     parts = tuple(Part(PartId(one.part), int(one.tokens)) for one in message.parts)
     return Wanted(
         request=RequestId(message.request),
@@ -65,7 +65,7 @@
 
 
 def encode_decision(ticket: int, decision: Choice | Refusal) -> Placed:
-    """Return the scheduler's answer to a question."""
+    """Return the message of the scheduler's decision."""
     if isinstance(decision, Refusal):
         return Placed(id=ticket, decision=_DECISIONS[decision])
     return Placed(
@@ -77,7 +77,7 @@
 
 
 def decode_refusal(placed: Placed) -> Refusal | None:
-    """Return the refusal that an answer is, if it is one."""
+    """Return the refusal in an answer, or ``None`` if a request was placed."""
     for refusal, code in _DECISIONS.items():
         if placed.decision == code:
             return refusal
@@ -85,6 +85,6 @@
 
 
 def decode_choice(placed: Placed, upstream: Upstream) -> Choice:
-    """Return the choice that an answer is, given the upstream that it names."""
+    """Return the choice in an answer, given the upstream that it names."""
     queue = placed.queue_ms / _MILLISECONDS
     return Choice(upstream, int(placed.unread), queue, int(placed.id))
--- a/packages/edge/src/hitchdeck_edge/links/records.py
+++ b/packages/edge/src/hitchdeck_edge/links/records.py
@@ -1,4 +1,4 @@
-"""Upstreams as they travel between processes."""
+"""Conversion of upstreams and suspicions to and from protobuf messages."""
 
 from collections.abc import Iterable
 from types import MappingProxyType
@@ -25,7 +25,7 @@
 
 
 def encode_upstream(upstream: Upstream, cold_left: float = 0.0) -> UpstreamRecord:
-    """Return the message for an upstream that remains cold for some seconds."""
+    """Return the message of an upstream; ``cold_left`` is its cold time in seconds."""
     return UpstreamRecord(
         upstream=upstream.name,
         pool=upstream.pool,
@@ -59,7 +59,7 @@
 
 
 def encode_suspicion(suspicion: Suspicion) -> SuspicionRecord:
-    """Return the message for a suspected crash."""
+    """Return the message of a suspected crash."""
     return SuspicionRecord(upstream=suspicion.upstream, cleared_by=suspicion.cleared_by)
 
 
@@ -69,9 +69,9 @@
 
 
 def decode_upstreams(records: Iterable[UpstreamRecord]) -> list[Upstream]:
-    """Return the upstreams of messages, without those that can't be read.
+    """Return the upstreams of messages, without those that can't be decoded.
 
-    One record that another version wrote must not keep a box from the rest.
+    One record from another version of the software must not hide the others.
     """
     decoded: list[Upstream] = []
     for record in records:
@@ -79,6 +79,8 @@
             decoded.append(decode_upstream(record))
         except ValueError as error:
             logs.warning(
-                'record unreadable', upstream=record.upstream, reason=str(error)
+                'upstream record not decodable',
+                upstream=record.upstream,
+                reason=str(error),
             )
     return decoded
