--- a/packages/edge/src/hitchdeck_edge/hub/directory.py
+++ b/packages/edge/src/hitchdeck_edge/hub/directory.py
@@ -31,8 +31,8 @@
 
 The load of one domain can surge within a second while callers still use cached
 addresses: five boxes of a small domain had no processor time left for 20 s, and their
-callers got 0.18 of their fair share of work.  A request that crosses domains loses about a
-fiftieth of a long request's value.
+callers got 0.18 of their fair share of work.  To cross domains costs about a fiftieth
+of the worth of a long request.
 """
 
 MIN_DOMAIN_FRACTION = 0.5
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -25,9 +25,9 @@
 DIGEST_TTL_SECONDS = 5.0
 """How long a box uses the last totals of the other boxes if no hub relays new ones.
 
-Afterwards it assumes that the others have the same load as itself.  With that assumption
-from the start, the only reachable box of an overloaded domain estimated 24 times its own
-queue and rejected 74 of 100 requests while engines were free.
+Afterwards it assumes that the others have the same load as itself.  With that
+assumption from the start, the only reachable box of an overloaded domain estimated 24
+times its own queue and rejected 74 of 100 requests while engines were free.
 """
 
 
