--- a/packages/edge/src/hitchdeck_edge/hub/directory.py
+++ b/packages/edge/src/hitchdeck_edge/hub/directory.py
@@ -80,6 +80,7 @@
 """
 
 _THINNING_SALT = 'spread'
+"""Salt of the hash that decides which callers are not given an overloaded box."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,13 +132,13 @@
     Parameters
     ----------
     caller
-        Who asks: it gets the same boxes each time, as far as they are ready.
+        Identifies the caller, which gets the same boxes each time while they are ready.
     domain
-        Its failure domain; one without boxes has all of them elsewhere.
-    doors
+        Failure domain of the caller; if it has no boxes, all are of other domains.
+    entries
         The boxes that are ready.
-    most
-        How many addresses an answer may hold.
+    limit
+        Maximum number of addresses.
     """
     same_domain = _prefer_without_hub(
         entry for entry in entries if entry.domain == domain
