--- a/packages/edge/src/hitchdeck_edge/hub/documents.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents.py
@@ -130,9 +130,7 @@
         replica = self.member.require_leader()
         voters = len(replica.voters())
         if voters < self.member.voters_needed:
-            raise UnavailableError(
-                f'group has only {voters} voters, too few for a safe commit'
-            )
+            raise UnavailableError(f'{voters} voters are too few for a safe commit')
         return bool(await replica.propose(entry.SerializeToString()))
 
     async def _evacuate(self, order: EvacuationOrder) -> EvacuateReply:
