--- a/bench/ticket_cost.py
+++ b/bench/ticket_cost.py
@@ -15,7 +15,7 @@
 import fire
 
 from bench.common import append_row
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import AccountName, Address, Incarnation, PoolName, RequestId
 from hitchdeck_core.resources import (
@@ -33,7 +33,7 @@
     ResourceChange,
     ShardEntry,
 )
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.link import Fleet
@@ -90,7 +90,7 @@
         ),
     )
     lease = ConfigurationLease(boot_seconds)
-    lease.until = float('inf')
+    lease.expires_at = float('inf')
     directory = FleetDirectory()
     shard = ShardEntry(
         shard=f'{_POOL}/0',
@@ -105,7 +105,7 @@
 
 async def one_request(finder: SlotFinder, account: str) -> None:
     """Take a slot, run a while, give it back."""
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         request=RequestId('r'),
         account=AccountName(account),
         pool=_POOL,
@@ -117,7 +117,7 @@
     )
     slot = await finder.acquire(_POOL, admitted.ticket(0, frozenset()))
     await asyncio.sleep(_RUN_SECONDS)
-    slot.spend(120)
+    slot.record_cost(120)
     slot.release()
 
 
@@ -157,7 +157,7 @@
     wire = Address(f'127.0.0.1:{free_ports(1)[0]}')
     fleet = make_fleet(setup, wire, _OWNER)
     host = SchedulerHost(fleet, _OWNER)
-    server = await serve([SchedulerService(host)], wire, fleet_only(_TOKEN))
+    server = await serve([SchedulerService(host)], wire, require_fleet_token(_TOKEN))
     supervisor = Supervisor('bench')
     supervisor.permanent('host', host.maintain)
     finders = [
--- a/packages/control/src/hitchdeck_control/answers.py
+++ b/packages/control/src/hitchdeck_control/answers.py
@@ -20,7 +20,7 @@
     WaitInForce,
 )
 
-_LONGEST_POLL = 0.25
+_MAX_POLL_SECONDS = 0.25
 
 
 async def answer(leader: Leader, query: Query) -> Message:
@@ -38,10 +38,10 @@
 def _resources(leader: Leader, query: ListResources) -> ResourceList:
     state = leader.machine.state
     chosen = [
-        StoredResource(resource=kept.resource, version=kept.version)
-        for kept in state.resources.values()
-        if query.kind in {'', kept.resource.kind}
-        and query.name in {'', kept.resource.name}
+        StoredResource(resource=stored.resource, version=stored.version)
+        for stored in state.resources.values()
+        if query.kind in {'', stored.resource.kind}
+        and query.name in {'', stored.resource.name}
     ]
     return ResourceList(version=state.version, resources=tuple(chosen))
 
@@ -57,22 +57,22 @@
                 in_force=reached and not laggards,
                 laggards=tuple(laggards),
             )
-        await leader.routers.changed.wait(min(left, _LONGEST_POLL))
+        await leader.routers.changed.wait(min(left, _MAX_POLL_SECONDS))
 
 
 def _status(leader: Leader) -> Status:
     replica = leader.replica
     state = leader.machine.state
     return Status(
-        leader=replica.me.box,
+        leader=replica.identity.box,
         term=replica.term,
         version=state.version,
         commit=replica.commit_index,
         members=tuple(_members(leader)),
         routers=tuple(_routers(leader)),
         shards=tuple(
-            ShardStatus(shard=shard, router=duty.router, epoch=duty.epoch)
-            for shard, duty in sorted(state.duties.items())
+            ShardStatus(shard=shard, router=assignment.router, epoch=assignment.epoch)
+            for shard, assignment in sorted(state.duties.items())
         ),
         usage=tuple(
             AccountUsage(account=account, cost=cost)
@@ -85,7 +85,7 @@
     replica = leader.replica
     members = []
     for one in replica.members():
-        mine = one.replica == replica.me.replica
+        mine = one.replica == replica.identity.replica
         match = replica.log.synced_index
         if not mine:
             match = replica.progress_of(ReplicaId(one.replica)).match
@@ -115,7 +115,7 @@
             http_address=one.hello.http_address,
             version=one.version,
             leaving=one.leaving,
-            connected=one.lost_at is None,
+            connected=one.disconnected_at is None,
             lease_left=max(0, one.lease_until - now),
         )
         for one in presences
--- a/packages/control/src/hitchdeck_control/raft/replication.py
+++ b/packages/control/src/hitchdeck_control/raft/replication.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from hitchdeck_control.raft.links import Links
+from hitchdeck_control.raft.peer_client import PeerClient
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address, ReplicaId
-from hitchdeck_core.supervisor import Supervisor, Work
+from hitchdeck_core.supervisor import Supervisor, TaskFunction
 from hitchdeck_core.wire.hitchdeck_pb2 import (
     AppendReply,
     AppendRequest,
@@ -16,10 +16,10 @@
     SnapshotRequest,
 )
 
-_MOST_ENTRIES = 512
+_MAX_ENTRIES_PER_APPEND = 512
 
 
-async def replicate(replica: Replica, links: Links) -> None:
+async def replicate(replica: Replica, client: PeerClient) -> None:
     """Keep one task for each peer while this replica leads; for ever."""
     while True:
         if replica.leadership is None:
@@ -27,7 +27,7 @@
             continue
         tasks = Supervisor('peers')
         try:
-            await _keep_peer_tasks(replica, links, replica.leadership, tasks)
+            await _supervise_peers(replica, client, replica.leadership, tasks)
         finally:
             await tasks.stop()
 
@@ -53,19 +53,19 @@
             await replica.take_snapshot()
 
 
-async def answer_append(
+async def handle_append(
     replica: Replica,
-    appending: asyncio.Lock,
+    append_lock: asyncio.Lock,
     request: AppendRequest,
 ) -> AppendReply:
     """Take entries from the leader; the answer follows the sync."""
-    refusal = _refusal_or_hear(replica, request)
+    refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
-    async with appending:
+    async with append_lock:
         if request.term < replica.term:
             return AppendReply(term=replica.term, success=False)
-        matched = _take_entries(replica, request)
+        matched = _append_entries(replica, request)
         await replica.log.flush()
     if matched is None:
         return AppendReply(
@@ -79,21 +79,21 @@
     return AppendReply(term=request.term, success=True, last_index=matched)
 
 
-async def answer_snapshot(
+async def handle_snapshot(
     replica: Replica,
-    appending: asyncio.Lock,
+    append_lock: asyncio.Lock,
     request: SnapshotRequest,
 ) -> AppendReply:
     """Take a snapshot from the leader in place of entries it has dropped."""
-    refusal = _refusal_or_hear(replica, request)
+    refusal = _refuse_or_follow(replica, request)
     if refusal is not None:
         return refusal
     snapshot = request.snapshot
-    async with appending:
+    async with append_lock:
         if snapshot.last_index > replica.commit_index:
             await replica.log.flush()
             await replica.log.compact(snapshot)
-            replica.machinery.load(snapshot.state)
+            replica.state_machine.load(snapshot.state)
             replica.commit_index = int(snapshot.last_index)
             replica.applied_index = int(snapshot.last_index)
             logs.info('snapshot taken over', index=replica.commit_index)
@@ -104,9 +104,9 @@
     )
 
 
-async def _keep_peer_tasks(
+async def _supervise_peers(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     leadership: Leadership,
     tasks: Supervisor,
 ) -> None:
@@ -114,27 +114,27 @@
         peers = {
             one.replica: one
             for one in replica.members()
-            if one.replica != replica.me.replica
+            if one.replica != replica.identity.replica
         }
         for gone in set(tasks.tasks) - set(peers):
             tasks.cancel(gone)
         for name in set(peers) - set(tasks.tasks):
-            tasks.permanent(name, _peer_work(replica, links, leadership, peers[name]))
+            tasks.permanent(name, _peer_task(replica, client, leadership, peers[name]))
         if not peers:
             replica.advance_commit()
         await replica.role_changed.wait(replica.timing.heartbeat)
 
 
-def _peer_work(
+def _peer_task(
     replica: Replica,
-    links: Links,
+    client: PeerClient,
     leadership: Leadership,
     peer: Member,
-) -> Work:
+) -> TaskFunction:
     async def work() -> None:
         while replica.leadership is leadership:
             try:
-                await _one_round(replica, links, peer)
+                await _replicate_once(replica, client, peer)
             except LinkError:
                 await asyncio.sleep(replica.timing.heartbeat)
             else:
@@ -153,22 +153,22 @@
         await replica.appended.wait(replica.timing.heartbeat)
 
 
-async def _one_round(replica: Replica, links: Links, peer: Member) -> None:
+async def _replicate_once(replica: Replica, client: PeerClient, peer: Member) -> None:
     term = replica.term
     progress = replica.progress_of(ReplicaId(peer.replica))
     sent_at = replica.now()
     address = Address(peer.address)
     if progress.next_index <= replica.log.snapshot.last_index:
         request = _snapshot_request(replica, peer)
-        reply = await links.install(address, request)
+        reply = await client.install(address, request)
     else:
-        reply = await links.append(address, _append_request(replica, peer))
+        reply = await client.append(address, _append_request(replica, peer))
     if reply.other_replica:
         # Neither contact nor refusal: a box with a new disk must not keep
         # the lease alive in the name of its lost replica.
         raise LinkError(f'{peer.address} is {peer.replica} no more')
     if reply.term > replica.term:
-        replica.follow(int(reply.term), ReplicaId(''))
+        replica.become_follower(int(reply.term), ReplicaId(''))
         await replica.log.flush()
     if replica.term != term or replica.leadership is None:
         return
@@ -188,40 +188,40 @@
 def _append_request(replica: Replica, peer: Member) -> AppendRequest:
     start = replica.progress_of(ReplicaId(peer.replica)).next_index
     return AppendRequest(
-        leader=replica.me.replica,
+        leader=replica.identity.replica,
         term=replica.term,
         previous_index=start - 1,
         previous_term=replica.log.term_at(start - 1),
         commit=replica.commit_index,
-        entries=replica.log.slice(start, _MOST_ENTRIES),
+        entries=replica.log.slice(start, _MAX_ENTRIES_PER_APPEND),
         target=peer.replica,
     )
 
 
 def _snapshot_request(replica: Replica, peer: Member) -> SnapshotRequest:
     return SnapshotRequest(
-        leader=replica.me.replica,
+        leader=replica.identity.replica,
         term=replica.term,
         snapshot=replica.log.snapshot,
         target=peer.replica,
     )
 
 
-def _refusal_or_hear(
+def _refuse_or_follow(
     replica: Replica,
     request: AppendRequest | SnapshotRequest,
 ) -> AppendReply | None:
     """Refuse what is not for this replica or of an old term, else follow."""
-    if request.target != replica.me.replica:
+    if request.target != replica.identity.replica:
         return AppendReply(other_replica=True)
     if request.term < replica.term:
         return AppendReply(term=replica.term, success=False)
-    replica.follow(int(request.term), ReplicaId(request.leader))
-    replica.last_heard = replica.now()
+    replica.become_follower(int(request.term), ReplicaId(request.leader))
+    replica.last_contact_at = replica.now()
     return None
 
 
-def _take_entries(replica: Replica, request: AppendRequest) -> int | None:
+def _append_entries(replica: Replica, request: AppendRequest) -> int | None:
     """Append what is new; the last matching index, or ``None`` for a gap."""
     previous = int(request.previous_index)
     base = int(replica.log.snapshot.last_index)
--- a/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
+++ b/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
@@ -54,8 +54,8 @@
         if known is not None:
             # The start time may have been corrected when it was accepted.
             upstream = replace(upstream, born=known.born)
-        newest = self.registry.newest_life(upstream.lineage)
-        if newest is None or upstream.age_rank >= newest.age_rank:
+        newest = self.registry.latest_incarnation(upstream.instance_key)
+        if newest is None or upstream.incarnation_rank >= newest.incarnation_rank:
             self.unconfirmed.pop(upstream.name, None)
             return upstream
         if known is not None or not self._is_confirmed(upstream, newest):
@@ -73,5 +73,5 @@
         if len(self.unconfirmed) > MAX_UNCONFIRMED:
             self.unconfirmed.pop(next(iter(self.unconfirmed)))
         lasted = self.now() - first.since >= CONFIRMATION_SECONDS
-        ended = newest.silent or newest.phase is Phase.gone
+        ended = newest.unresponsive or newest.phase is Phase.gone
         return ended and lasted and upstream.sequence > first.sequence
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -62,7 +62,7 @@
         self.fleet = fleet
         self.streams = 0
         self.connected = 0
-        scheduler.placement.cold_budget.part = self.fleet_fraction
+        scheduler.placement.cold_budget.rate_fraction = self.fleet_fraction
 
     async def Attend(self, stream: Stream[PlacingFrame, PlacedFrame]) -> None:
         """Serve one box until either side ends the stream."""
@@ -79,7 +79,7 @@
             await self._serve(box, first, stream)
         finally:
             self.connected -= 1
-            self.scheduler.leave(box.name)
+            self.scheduler.drop_box(box.name)
 
     def fleet_fraction(self) -> float:
         """Return the fraction of the fleet's boxes that use this scheduler, 0 to 1."""
@@ -102,10 +102,10 @@
     def _apply_progress(self, box: _Box, frame: PlacingFrame) -> None:
         for demand in frame.demands:
             account = AccountName(demand.account)
-            self.scheduler.shares.recall(account, int(demand.tokens))
+            self.scheduler.shares.count_elsewhere(account, int(demand.tokens))
         for work in frame.open:
             key = (box.name, int(work.id))
-            self.scheduler.enter(key, UpstreamName(work.upstream), int(work.unread))
+            self.scheduler.add_open(key, UpstreamName(work.upstream), int(work.unread))
         for started in frame.started:
             self.scheduler.start((box.name, int(started)))
         for started in frame.late_started:
@@ -114,14 +114,14 @@
             self.scheduler.end((box.name, int(ended)))
         for failed in frame.failed:
             health = self.scheduler.placement.health
-            health.fail(UpstreamName(failed), f'reported by {box.name}')
+            health.record_failure(UpstreamName(failed), f'reported by {box.name}')
 
     def _place(self, box: _Box, message: WantedMessage) -> Placed:
         document = self.scheduler.documents.document
         pool = document.pools.get(PoolName(message.pool)) if document else None
         slots = pool.engine.slots if pool and pool.engine else 1
-        wanted = decode_wanted(message, box.domain, slots)
-        decision = self.scheduler.place((box.name, int(message.id)), wanted)
+        query = decode_wanted(message, box.domain, slots)
+        decision = self.scheduler.place((box.name, int(message.id)), query)
         return encode_decision(int(message.id), decision)
 
 
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -3,12 +3,12 @@
 import math
 import secrets
 
-from hitchdeck_core.busyness import PERCENT, busy_part
 from hitchdeck_core.ids import Address
-from hitchdeck_core.quarantine.messages import encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Told
+from hitchdeck_core.loop_load import PERCENT, loop_utilization
+from hitchdeck_core.quarantine.messages import encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.links.hub_frames import apply_hub_frame
 from hitchdeck_edge.links.hub_streams import (
     StreamHandlers,
@@ -18,7 +18,7 @@
 from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.fleet_state import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_edge.state.tallies import Tally, tally_of
 
@@ -53,8 +53,8 @@
     def __init__(
         self,
         settings: EntrySettings,
-        known: Knowledge,
-        budget: RepeatBudget,
+        known: FleetState,
+        budget: RetryBudget,
         targets: ReliefTargets,
     ) -> None:
         self.settings = settings
@@ -63,7 +63,7 @@
         self.targets = targets
         self.ready = False
         self.wake = known.quarantine.changed
-        self.sent_positions: dict[Address, Told] = {}
+        self.sent_positions: dict[Address, SyncPosition] = {}
         self.sent_changes: dict[Address, int] = {}
         self.incarnation = secrets.token_hex(4)
         self.report_hub: Address | None = None
@@ -95,7 +95,7 @@
             evacuations=self.known.evacuations.edition,
             ready=self.ready,
             wants_reports=is_report_hub,
-            busy_percent=round(PERCENT * busy_part()),
+            busy_percent=round(PERCENT * loop_utilization()),
         )
         if first:
             frame.hello.CopyFrom(self._hello())
@@ -128,14 +128,14 @@
         if not is_report_hub:
             return
         self.report_hub = hub
-        self.digest_at = self.known.books.now()
+        self.digest_at = self.known.open_work.now()
         if frame.boxes:
             self.budget.boxes = int(frame.boxes)
-        self._set_others(tally_of(frame), alike=1)
+        self._set_others(tally_of(frame), assumed_boxes=1)
 
     def _expire_digest(self) -> None:
         """Drop the totals of the other boxes once they are too old."""
-        if self.known.books.now() - self.digest_at > DIGEST_TTL_SECONDS:
+        if self.known.open_work.now() - self.digest_at > DIGEST_TTL_SECONDS:
             self._assume_others_alike()
 
     def _assume_others_alike(self) -> None:
@@ -144,23 +144,23 @@
         Otherwise each box would count all engines as its own: after a restart, a
         quarter of the requests that boxes placed by themselves started late.
         """
-        self._set_others(Tally(), alike=max(1, self.budget.boxes))
+        self._set_others(Tally(), assumed_boxes=max(1, self.budget.boxes))
 
-    def _set_others(self, tally: Tally, *, alike: int) -> None:
-        books = self.known.books
+    def _set_others(self, tally: Tally, *, assumed_boxes: int) -> None:
+        open_work = self.known.open_work
         shares = self.known.scheduler.shares
-        books.others = tally
+        open_work.others = tally
         shares.others = tally
-        books.alike = alike
-        shares.alike = alike
+        open_work.assumed_boxes = assumed_boxes
+        shares.assumed_boxes = assumed_boxes
 
     def _add_quarantine(self, hub: Address, frame: BoxFrame) -> None:
         """Add the crashes and verdicts that a hub has not been sent yet."""
         quarantine = self.known.quarantine
-        position = self.sent_positions.get(hub, NOTHING)
-        news, self.sent_positions[hub] = quarantine.news_since(position)
-        if news.casualties or news.verdicts:
-            frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
+        position = self.sent_positions.get(hub, SYNC_START)
+        news, self.sent_positions[hub] = quarantine.update_since(position)
+        if news.crashes or news.verdicts:
+            frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _add_suspicions(self, hub: Address, frame: BoxFrame) -> None:
         """Add suspected crashes, for the hub that gets the reports to clear them.
@@ -176,7 +176,7 @@
         frame.suspicions.extend(encode_suspicion(one) for one in fresh)
 
     def _add_report(self, frame: BoxFrame) -> None:
-        frame.loads.extend(self.known.books.own.loads())
+        frame.loads.extend(self.known.open_work.own.loads())
         frame.demands.extend(self.known.scheduler.shares.demands())
 
     def _hello(self) -> Hello:
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -6,10 +6,10 @@
 from grpclib.client import Channel, Stream
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.channels import open_channel
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address, UpstreamName
+from hitchdeck_core.loop_load import loop_utilization
 from hitchdeck_core.wire.spread_grpc import PlacingStub
 from hitchdeck_core.wire.spread_pb2 import (
     Decision,
@@ -27,7 +27,7 @@
     decode_refusal,
     encode_wanted,
 )
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.registry import Registry
@@ -111,14 +111,14 @@
         self.last_ticket = 0
         self.unanswered = 0
 
-    async def place(self, wanted: Wanted) -> Choice | Refusal | None:
+    async def place(self, query: PlacementQuery) -> Choice | Refusal | None:
         """Return the scheduler's decision, or ``None`` if it does not answer."""
         if self.scheduler is None:
             return None
         ticket = self._new_ticket()
         answer = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = answer
-        self.outbox.add_query(encode_wanted(ticket, wanted))
+        self.outbox.add_query(encode_wanted(ticket, query))
         try:
             await self._wait_for_answer(answer)
         finally:
@@ -151,7 +151,7 @@
         if ticket in self.open:
             self.open[ticket].unread = 0
             progress = PlacingFrame()
-            late = busy_part() > OVERLOADED_UTILIZATION
+            late = loop_utilization() > OVERLOADED_UTILIZATION
             (progress.late_started if late else progress.started).append(ticket)
             self._send_progress(progress)
 
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -10,7 +10,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.backpressure import Backpressure
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.control_client import ControlClient
 from hitchdeck_core.histograms import Histograms
@@ -19,8 +19,8 @@
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterHello
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.ends import endings_of
 from hitchdeck_router.dispatch.ledger import Ledger
+from hitchdeck_router.dispatch.quarantine import crash_detector_of
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.link import ControlLink, Fleet, UsageExchange
@@ -33,8 +33,8 @@
 from hitchdeck_router.serving.app import start_http
 
 _INCARNATION_BYTES = 8
-_STOP_POLL = 0.05
-_HANDOVER_SECONDS = 5.0
+_STOP_POLL_SECONDS = 0.05
+_HANDOVER_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(slots=True)
@@ -59,10 +59,10 @@
         self.link.announce_leaving()
         logs.info('leaving', active=self.context.active)
         handover = _wait_until(self._has_handed_over)
-        await _within(handover, _HANDOVER_SECONDS)
+        await _wait_at_most(handover, _HANDOVER_TIMEOUT_SECONDS)
         await asyncio.sleep(settings.address_ttl)
         idle = _wait_until(lambda: not self.context.active)
-        await _within(idle, settings.stop_grace)
+        await _wait_at_most(idle, settings.stop_grace)
 
     async def stop(self) -> None:
         """Stop serving and end every task."""
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Variation:
+class SchedulingOverrides:
     """What an experiment may exchange: whose turn it is, how slots are found."""
 
     rank: Rank = least_served
@@ -90,18 +90,18 @@
 
 async def start_router(
     settings: Settings,
-    variation: Variation | None = None,
+    overrides: SchedulingOverrides | None = None,
 ) -> RouterProcess:
     """Start the router role of a process."""
     section = settings.router
     assert section is not None, 'settings are checked before'
     supervisor = Supervisor('router')
-    context = _make_context(settings, supervisor, variation or Variation())
+    context = _make_context(settings, supervisor, overrides or SchedulingOverrides())
     link = _make_link(settings, context)
     wire = await serve(
         [SchedulerService(context.host)],
         section.wire_listen,
-        fleet_only(settings.fleet_token),
+        require_fleet_token(settings.fleet_token),
     )
     http = start_http(context)
     supervisor.permanent('control-link', link.run)
@@ -114,7 +114,7 @@
 def _make_context(
     settings: Settings,
     supervisor: Supervisor,
-    variation: Variation,
+    overrides: SchedulingOverrides,
 ) -> RouterContext:
     section = settings.router
     assert section is not None, 'settings are checked before'
@@ -133,18 +133,18 @@
         incarnation=incarnation,
         settings=section,
         fleet=fleet,
-        finder=variation.make_finder(
+        finder=overrides.make_finder(
             fleet,
             settings.box,
             incarnation,
             settings.fleet_token,
             supervisor,
         ),
-        host=SchedulerHost(fleet, incarnation, variation.rank),
+        host=SchedulerHost(fleet, incarnation, overrides.rank),
         ledger=Ledger(client, settings.box, incarnation, supervisor),
         histograms=Histograms(boot_seconds),
         supervisor=supervisor,
-        endings=endings_of(fleet.quarantine),
+        crash_detector=crash_detector_of(fleet.quarantine),
         backpressure=Backpressure(boot_seconds),
     )
 
@@ -164,19 +164,19 @@
         section.control,
         settings.fleet_token,
         UsageExchange(
-            grown=context.finder.usage_to_tell,
-            tell_all=context.finder.forget_told,
-            take=context.host.take_usage_elsewhere,
+            unreported=context.finder.unreported_usage,
+            restart=context.finder.reset_reported_usage,
+            apply=context.host.apply_remote_usage,
         ),
     )
 
 
 async def _wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
-        await asyncio.sleep(_STOP_POLL)
+        await asyncio.sleep(_STOP_POLL_SECONDS)
 
 
-async def _within(work: Awaitable[None], seconds: float) -> None:
+async def _wait_at_most(work: Awaitable[None], seconds: float) -> None:
     try:
         await asyncio.wait_for(work, seconds)
     except TimeoutError:
--- a/packages/router/src/hitchdeck_router/serving/status.py
+++ b/packages/router/src/hitchdeck_router/serving/status.py
@@ -4,14 +4,14 @@
 from collections.abc import Iterator
 
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.serving.base import Door
+from hitchdeck_router.serving.base import BaseHandler
 
 _OK = 200
 _UNAVAILABLE = 503
 _CLASS_LABELS = ('account', 'class')
 
 
-class HealthDoor(Door):
+class HealthDoor(BaseHandler):
     """Whether new callers should come here."""
 
     def get(self) -> None:
@@ -30,7 +30,7 @@
         )
 
 
-class MetricsDoor(Door):
+class MetricsDoor(BaseHandler):
     """Metrics in the Prometheus text format."""
 
     def get(self) -> None:
@@ -72,7 +72,7 @@
         counters = scheduler.counters
         yield _line('shard_service_gap', scheduler.service_gap(), shard=shard)
         yield _line('shard_gap_bound', scheduler.gap_bound(), shard=shard)
-        yield _line('shard_free_slots', scheduler.rooms.free_slots(), shard=shard)
+        yield _line('shard_free_slots', scheduler.capacity.free_slots(), shard=shard)
         yield _line('shard_held_slots', len(scheduler.held), shard=shard)
         yield _line('shard_waiting', len(scheduler.tickets), shard=shard)
         yield _line('shard_granted_total', counters.granted, shard=shard)
--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -15,8 +15,8 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 from hitchdeck_edge.model.document import DocumentVersion
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
@@ -82,8 +82,8 @@
     return Prompt(tokens, 0, (shared, Part(PartId('own'), tokens - tokens // 2)))
 
 
-def wanted(name: str = 'ann', subject: str = 's', tokens: int = 1000) -> Wanted:
-    return Wanted(
+def wanted(name: str = 'ann', subject: str = 's', tokens: int = 1000) -> PlacementQuery:
+    return PlacementQuery(
         request=RequestId('r'),
         pool=POOL,
         domain='a',
@@ -112,7 +112,7 @@
 def scheduler_of(
     clock: FakeClock,
     engines: int,
-    mechanisms: Mechanisms = ALL,
+    mechanisms: Mechanisms = ALL_MECHANISMS,
 ) -> Scheduler:
     registry = Registry(clock, Signal())
     for number in range(engines):
@@ -136,8 +136,8 @@
     reader = PaperEngine(clock, pace)
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, stated or pace)
-    scheduler.placement.pace.tokens[POOL] = pace
-    scheduler.placement.pace.seconds[POOL] = 1
+    scheduler.placement.speed.tokens[POOL] = pace
+    scheduler.placement.speed.seconds[POOL] = 1
     granted: Counter[str] = Counter()
     for number, name in enumerate(arriving(asks, clock, seconds), 1):
         for finished in reader.finished():
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -14,11 +14,11 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.placing import FLEET_SIZE_WINDOW_SECONDS, FleetSize
 from hitchdeck_edge.links.records import decode_upstream, encode_upstream
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
-from hitchdeck_edge.state.cold import LONGEST_COLD_SECONDS, ColdUpstreams
+from hitchdeck_edge.state.cold import MAX_COLD_SECONDS, ColdUpstreams
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import domain_closer
 from hitchdeck_edge.state.registry import Registry
@@ -39,7 +39,7 @@
         ([(1, 3.0), (2, 0.0)], 0.0),
         ([(2, 0.0), (1, 3.0)], 0.0),
         ([(1, 0.0), (2, 3.0)], 3.0),
-        ([(1, 1e9)], LONGEST_COLD_SECONDS),
+        ([(1, 1e9)], MAX_COLD_SECONDS),
     ],
 )
 def test_the_latest_report_says_how_long_an_upstream_is_cold(
@@ -145,7 +145,7 @@
         self.scheduler = 'hub'
         self.choice = choice
 
-    async def place(self, _wanted: Wanted) -> Choice:
+    async def place(self, _wanted: PlacementQuery) -> Choice:
         return self.choice
 
 
@@ -155,14 +155,14 @@
     offer(local, 10_000_000, coldS=3.0, coldPerS=RATE)
     cold = local.placement.registry.cold
     cold.report(NAME, 9, 10.0)
-    local.placement.cold_budget.part = float
+    local.placement.cold_budget.rate_fraction = float
     choice = Choice(engine('e0'), 0, 0)
     chooser = Chooser('a', local, Answering(clock, choice))
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
     call = replace(wanted(), avoid=frozenset((UpstreamName('e1'),)))
     assert not local.placement.candidates(call)
-    passage = SimpleNamespace(wanted=lambda _domain: wanted(), decided_by='')
-    assert await chooser.choose(passage) == choice
+    context = SimpleNamespace(placement_query=lambda _domain: wanted(), decided_by='')
+    assert await chooser.choose(context) == choice
 
 
 @dataclass
@@ -181,9 +181,9 @@
 
 def decider(clock: FakeClock, part: float) -> Decider:
     cold = ColdUpstreams(clock)
-    cold.report(NAME, 1, LONGEST_COLD_SECONDS)
+    cold.report(NAME, 1, MAX_COLD_SECONDS)
     budget = ColdBudget(clock, cold, lambda _pool: RATE)
-    budget.part = lambda: part
+    budget.rate_fraction = lambda: part
     return Decider(budget)
 
 
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -68,7 +68,7 @@
 def live_hubs_vote(site: Site) -> bool:
     """Tell whether the voters are the hubs that run, under their present ids."""
     replicas = [hub.replica for hub in site.hubs if hub.replica is not None]
-    present = {replica.me.replica for replica in replicas}
+    present = {replica.identity.replica for replica in replicas}
     return any(
         replica.has_lease() and {one.replica for one in replica.voters()} == present
         for replica in replicas
@@ -313,9 +313,9 @@
     registry = Registry(boot_seconds, Signal())
     registry.merge(upstream('new', 1), 'test')
     registry.merge(upstream('old', 9), 'test')
-    assert registry.records[UpstreamName('new')].silent
+    assert registry.records[UpstreamName('new')].unresponsive
     registry.merge(upstream('new', 2), 'test')
-    assert not registry.records[UpstreamName('new')].silent
+    assert not registry.records[UpstreamName('new')].unresponsive
     assert registry.records[UpstreamName('new')].phase is Phase.serving
 
 
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -7,7 +7,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.mechanisms import Mechanisms
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from tests.common.scheduling import FakeClock, engine, offer, scheduler_of, wanted
@@ -23,7 +23,7 @@
     return scheduler
 
 
-def chosen(scheduler: Scheduler, one: Wanted) -> str:
+def chosen(scheduler: Scheduler, one: PlacementQuery) -> str:
     """Return where a request goes, or why it is refused."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
@@ -31,7 +31,7 @@
     return decision.upstream.name
 
 
-def long_one(scheduler: Scheduler) -> Wanted:
+def long_one(scheduler: Scheduler) -> PlacementQuery:
     """Return a long request whose subject e0 is taken to hold."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
     return next(one for one in subjects if chosen(scheduler, one) == FIRST)
@@ -43,19 +43,19 @@
         scheduler.shares.ask(wanted('other'))
         scheduler.place(('box', number), replace(wanted(), resumes=True))
         scheduler.end(('box', number))
-    scheduler.enter(('box', 1), FIRST, 2000)
-    scheduler.enter(('box', 2), UpstreamName('e1'), 2000)
+    scheduler.add_open(('box', 1), FIRST, 2000)
+    scheduler.add_open(('box', 2), UpstreamName('e1'), 2000)
     return _placed_or_refused(scheduler)
 
 
 def nearest(scheduler: Scheduler) -> str:
-    scheduler.enter(('box', 1), FIRST, 100)
+    scheduler.add_open(('box', 1), FIRST, 100)
     return chosen(scheduler, wanted(tokens=10))
 
 
 def failed(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.placement.health.fail(FIRST, 'test')
+    scheduler.placement.health.record_failure(FIRST, 'test')
     return chosen(scheduler, one)
 
 
@@ -67,26 +67,26 @@
 
 def crowded(scheduler: Scheduler) -> str:
     for number in range(60):
-        scheduler.enter(('box', number), UpstreamName(f'e{number % 2}'), 0)
+        scheduler.add_open(('box', number), UpstreamName(f'e{number % 2}'), 0)
     return _placed_or_refused(scheduler)
 
 
 def cached(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
     assert one.prompt is not None
-    scheduler.placement.memory.note(UpstreamName('e1'), one.prompt)
+    scheduler.placement.prefix_cache.record_prompt(UpstreamName('e1'), one.prompt)
     return chosen(scheduler, one)
 
 
 def busy_with_the_subject(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 40_000)
+    scheduler.add_open(('box', 1), FIRST, 40_000)
     return chosen(scheduler, one)
 
 
 def worth_the_wait(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 12_000)
+    scheduler.add_open(('box', 1), FIRST, 12_000)
     return chosen(scheduler, one)
 
 
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -3,8 +3,8 @@
 import pytest
 
 from hitchdeck_core.ids import AccountName
-from hitchdeck_core.retry_after import LONGEST_SECONDS
-from hitchdeck_edge.model.dialect import Forwarding
+from hitchdeck_core.retry_after import MAX_RETRY_AFTER_SECONDS
+from hitchdeck_edge.model.adapter import Forwarding
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_platform.requests import forward_headers, read_answer, read_call
 from tests.common.scheduling import engine
@@ -80,7 +80,7 @@
         given.append(('Length-Hint', hint))
     call = read_call('POST', '/a/b', given)
     assert call.prompt is not None
-    assert call.prompt.expected_made == expected
+    assert call.prompt.expected_output_tokens == expected
 
 
 @pytest.mark.parametrize(
@@ -117,10 +117,10 @@
         (503, '', 0),
         (503, 'soon', 0),
         (503, 'nan', 0),
-        (503, 'inf', LONGEST_SECONDS),
-        (503, '9' * 400, LONGEST_SECONDS),
+        (503, 'inf', MAX_RETRY_AFTER_SECONDS),
+        (503, '9' * 400, MAX_RETRY_AFTER_SECONDS),
         (503, 'Thu, 01 Jan 1970 00:00:00 GMT', 0),
-        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', LONGEST_SECONDS),
+        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', MAX_RETRY_AFTER_SECONDS),
         (500, '3', 0),
         (200, '3', 0),
         (421, '3', 0),
@@ -132,7 +132,7 @@
     pause: float,
 ) -> None:
     mark = read_answer(status, [(b'retry-after', given.encode())])
-    assert mark.pause == pause
+    assert mark.backoff == pause
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import Address, PoolName, UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
@@ -77,19 +77,19 @@
     after = Registry(lambda: clock[0], Signal())
     upstreams_file(tmp_path, after).restore()
     clock[0] += 5
-    after.silence(4.8)
-    assert after.records[UpstreamName('lost')].silent
+    after.mark_unresponsive(4.8)
+    assert after.records[UpstreamName('lost')].unresponsive
 
 
 async def test_a_quarantine_outlives_a_restart_of_everything(tmp_path: Path) -> None:
     lethal = Fingerprint(b'lethal')
     before = Quarantine(boot_seconds, Signal())
     for number in range(3):
-        before.note_end(LifeId(f'e{number}'), [lethal])
+        before.record_crash(UpstreamIncarnation(f'e{number}'), [lethal])
     await until_written(quarantine_file(tmp_path, before))
     after = Quarantine(boot_seconds, Signal())
     quarantine_file(tmp_path, after).restore()
-    assert after.holds(lethal)
+    assert after.is_quarantined(lethal)
 
 
 @pytest.mark.parametrize('content', [b'', b'no frame', b'\x00' * 40])
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.signals import Signal
@@ -125,7 +125,7 @@
     clock = FakeClock()
     service = PlacingService(scheduler_of(clock, 1), FleetSize(lambda: 1, clock))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     try:
         yield address
     finally:
@@ -158,12 +158,12 @@
 ) -> None:
     # A flooded box noted first events seconds late; the scheduler took every
     # engine for slow and refused what other domains asked for.
-    monkeypatch.setattr(placing, 'busy_part', lambda: busy)
+    monkeypatch.setattr(placing, 'loop_utilization', lambda: busy)
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     service = PlacingService(scheduler, FleetSize(lambda: 1, scheduler.now))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     async with running_link(address) as link:
         link.registry.merge(engine('e0'), 'test')
         await reached(link, connected=True)
@@ -173,13 +173,13 @@
         link.track(choice.ticket, choice.upstream.name, choice.tokens)
         link.record_start(choice.ticket)
         async with asyncio.timeout(15):
-            while scheduler.placement.books.waiting(choice.upstream.name):
+            while scheduler.placement.open_work.waiting(choice.upstream.name):
                 await asyncio.sleep(0.01)
         link.record_end(choice.ticket)
         async with asyncio.timeout(15):
             while scheduler.open:
                 await asyncio.sleep(0.01)
     server.close()
-    pace = scheduler.placement.pace
-    assert bool(pace.seconds) == learned
-    assert bool(pace.run_seconds) == learned
+    speed = scheduler.placement.speed
+    assert bool(speed.seconds) == learned
+    assert bool(speed.run_seconds) == learned
