--- a/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
+++ b/packages/edge/src/hitchdeck_edge/hub/incarnation_order.py
@@ -3,7 +3,7 @@
 Incarnations are ordered by the start time that they report.  One that started after its
 machine's clock was set back seems to precede the latest known one, and its reports look
 like delayed ones.  It is accepted as the latest once it has reported for
-``CONFIRMATION_SECONDS`` while the seemingly later incarnation is suspected or gone.
+``CONFIRMATION_SECONDS`` while the seemingly later incarnation is unresponsive or gone.
 """
 
 from dataclasses import dataclass, replace
--- a/packages/edge/src/hitchdeck_edge/hub/liveness.py
+++ b/packages/edge/src/hitchdeck_edge/hub/liveness.py
@@ -16,7 +16,7 @@
 
 
 class Liveness:
-    """Processes reports of upstreams, and suspects those that stop reporting.
+    """Processes reports of upstreams, and marks those that stop as unresponsive.
 
     Attributes
     ----------
@@ -56,9 +56,9 @@
         return [name for name, at in self.last_reports.items() if at >= since]
 
     async def run(self) -> None:
-        """Suspect upstreams that stopped reporting; runs forever.
+        """Mark upstreams that stopped reporting as unresponsive; runs forever.
 
-        A hub that hears no upstream at all is itself partitioned and suspects none.
+        A hub that hears no upstream at all is itself partitioned and marks none.
         """
         limit = MAX_MISSED_REPORTS * self.period
         while True:
--- a/packages/edge/src/hitchdeck_edge/hub/state_file.py
+++ b/packages/edge/src/hitchdeck_edge/hub/state_file.py
@@ -134,7 +134,7 @@
     """Return the file of all upstreams, including those that are gone.
 
     Restored upstreams count as just heard from; those that no longer report are
-    suspected soon afterwards.
+    marked as unresponsive soon afterwards.
     """
 
     def encode() -> bytes:
