--- a/packages/router/src/hitchdeck_router/scheduling/host.py
+++ b/packages/router/src/hitchdeck_router/scheduling/host.py
@@ -94,7 +94,7 @@
             for hosted in list(self.shards.values()):
                 self._lapse_silent(hosted)
                 self._refuse_expired(hosted)
-                hosted.scheduler.rooms.refresh_all(self.fleet.now())
+                hosted.scheduler.capacity.refresh_all(self.fleet.now())
                 self.pump(hosted)
 
     def follow_directory(self) -> None:
@@ -280,7 +280,7 @@
             return
         counters = hosted.scheduler.counters
         counters.waiting += elapsed
-        if hosted.scheduler.rooms.free:
+        if hosted.scheduler.capacity.free:
             counters.idle_while_waiting += elapsed
 
     def _advertise(self, hosted: HostedShard, now: float) -> None:
@@ -290,9 +290,9 @@
         arrival, and routers only need to know where work could go at once.
         Now and then the same is said again, as the scheduler's heartbeat.
         """
-        free = hosted.scheduler.rooms.free_slots()
+        free = hosted.scheduler.capacity.free_slots()
         waiting = len(hosted.scheduler.tickets)
-        serves = bool(hosted.scheduler.rooms.loads)
+        serves = bool(hosted.scheduler.capacity.loads)
         kind = (free > 0, waiting > 0, serves)
         overdue = now - hosted.advertised_at > _ADVERTISE_PERIOD
         if kind == hosted.advertised and not overdue:
--- a/packages/router/src/hitchdeck_router/scheduling/loads.py
+++ b/packages/router/src/hitchdeck_router/scheduling/loads.py
@@ -5,16 +5,16 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_router.scheduling.queueing import TicketKey
 
-TOKEN_GAP_TARGET = 0.07
+TOKEN_GAP_TARGET_SECONDS = 0.07
 """Seconds between tokens that callers are promised."""
 
-_COMFORT = 0.85
-_DECREASE = 0.9
-_INCREASE = 1.0
-_GAP_MEMORY = 0.7
-_ADJUST_PERIOD = 1.0
-_FIRST_PENALTY = 0.5
-_LONGEST_PENALTY = 10.0
+_INCREASE_THRESHOLD = 0.85
+_DECREASE_FACTOR = 0.9
+_INCREASE_STEP = 1.0
+_GAP_SMOOTHING = 0.7
+_ADJUST_PERIOD_SECONDS = 1.0
+_FIRST_PENALTY_SECONDS = 0.5
+_MAX_PENALTY_SECONDS = 10.0
 
 
 @dataclass(slots=True)
@@ -34,12 +34,12 @@
     blocked_until: float = 0.0
     penalty: float = 0.0
 
-    def room(self, now: float, extra: int = 0) -> int:
+    def free_slots(self, now: float, extra: int = 0) -> int:
         """Return how many more requests may go there, negative if over."""
         if now < self.blocked_until:
             return 0
-        most = 1 if self.penalty else max(1, int(self.limit)) + extra
-        return most - len(self.held)
+        allowed = 1 if self.penalty else max(1, int(self.limit)) + extra
+        return allowed - len(self.held)
 
     def observe_gap(self, gap: float, now: float) -> None:
         """Learn from a reported time between tokens."""
@@ -47,21 +47,23 @@
             return
         if not self.token_gap:
             self.token_gap = gap
-        self.token_gap = _GAP_MEMORY * self.token_gap + (1 - _GAP_MEMORY) * gap
-        if now - self.adjusted_at < _ADJUST_PERIOD:
+        self.token_gap = _GAP_SMOOTHING * self.token_gap + (1 - _GAP_SMOOTHING) * gap
+        if now - self.adjusted_at < _ADJUST_PERIOD_SECONDS:
             return
         self.adjusted_at = now
-        if self.token_gap > TOKEN_GAP_TARGET:
-            self.limit = max(1.0, self.limit * _DECREASE)
-        elif self.token_gap < TOKEN_GAP_TARGET * _COMFORT:
-            self.limit = min(float(self.slots), self.limit + _INCREASE)
+        if self.token_gap > TOKEN_GAP_TARGET_SECONDS:
+            self.limit = max(1.0, self.limit * _DECREASE_FACTOR)
+        elif self.token_gap < TOKEN_GAP_TARGET_SECONDS * _INCREASE_THRESHOLD:
+            self.limit = min(float(self.slots), self.limit + _INCREASE_STEP)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Keep new work away for a while, longer each time."""
-        self.penalty = min(_LONGEST_PENALTY, 2 * self.penalty or _FIRST_PENALTY)
+        self.penalty = min(
+            _MAX_PENALTY_SECONDS, 2 * self.penalty or _FIRST_PENALTY_SECONDS
+        )
         self.blocked_until = now + self.penalty
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Forget failures: it serves."""
         self.penalty = 0.0
 
--- a/packages/router/src/hitchdeck_router/scheduling/placement.py
+++ b/packages/router/src/hitchdeck_router/scheduling/placement.py
@@ -56,7 +56,7 @@
 
 
 def choose_upstream(
-    rooms: Mapping[UpstreamName, int],
+    available: Mapping[UpstreamName, int],
     preferred: UpstreamName | None,
 ) -> UpstreamName | None:
     """Return the preferred upstream if it has room, else the emptiest.
@@ -64,9 +64,9 @@
     A full holder is not waited for: a prompt that is computed again costs
     less than a slot that stays free meanwhile.
     """
-    if preferred is not None and rooms.get(preferred, 0) > 0:
+    if preferred is not None and available.get(preferred, 0) > 0:
         return preferred
-    emptiest = max(rooms, key=lambda name: (rooms[name], name), default=None)
-    if emptiest is None or rooms[emptiest] <= 0:
+    emptiest = max(available, key=lambda name: (available[name], name), default=None)
+    if emptiest is None or available[emptiest] <= 0:
         return None
     return emptiest
--- a/packages/router/src/hitchdeck_router/scheduling/rooms.py
+++ b/packages/router/src/hitchdeck_router/scheduling/rooms.py
@@ -10,7 +10,7 @@
 from hitchdeck_router.scheduling.queueing import TicketKey
 
 
-class Rooms:
+class ShardCapacity:
     """Upstreams by load, and the free slots of those that have any."""
 
     def __init__(self) -> None:
@@ -31,22 +31,22 @@
         for gone in set(self.loads) - set(slots):
             self.loads.pop(gone)
             self.free.pop(gone, None)
-        for name, most in slots.items():
+        for name, max_slots in slots.items():
             load = self.loads.get(name)
             if load is None:
                 taken = held.get(name, set())
-                self.loads[name] = UpstreamLoad(most, float(most), taken)
-            elif load.slots != most:
-                load.slots = most
-                load.limit = float(most)
+                self.loads[name] = UpstreamLoad(max_slots, float(max_slots), taken)
+            elif load.slots != max_slots:
+                load.slots = max_slots
+                load.limit = float(max_slots)
             self.refresh(name, now)
 
     def refresh(self, name: UpstreamName, now: float) -> None:
         """Look at one upstream again."""
         load = self.loads.get(name)
-        room = load.room(now) if load else 0
-        if room > 0:
-            self.free[name] = room
+        free_slots = load.free_slots(now) if load else 0
+        if free_slots > 0:
+            self.free[name] = free_slots
         else:
             self.free.pop(name, None)
 
@@ -65,12 +65,16 @@
         Where all upstreams are to be avoided, none is: a ticket that nothing
         suits would wait for ever.
         """
-        rooms = self.free
+        available = self.free
         if avoid and not avoid >= self.loads.keys():
-            rooms = {name: room for name, room in rooms.items() if name not in avoid}
-        return choose_upstream(rooms, preferred)
+            available = {
+                name: free_slots
+                for name, free_slots in available.items()
+                if name not in avoid
+            }
+        return choose_upstream(available, preferred)
 
-    def choose_beyond(
+    def choose_overcommitted(
         self,
         preferred: UpstreamName | None,
         avoid: frozenset[UpstreamName],
@@ -78,9 +82,9 @@
         now: float,
     ) -> UpstreamName | None:
         """Return an upstream that has room if it may exceed its slots."""
-        rooms = {
-            name: load.room(now, extra)
+        available = {
+            name: load.free_slots(now, extra)
             for name, load in self.loads.items()
             if name not in avoid
         }
-        return choose_upstream(rooms, preferred)
+        return choose_upstream(available, preferred)
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -10,6 +10,7 @@
 
 from hitchdeck_core.ids import AccountName, Incarnation, UpstreamName
 from hitchdeck_core.resources import Urgency
+from hitchdeck_router.scheduling.capacity import ShardCapacity
 from hitchdeck_router.scheduling.fairness import FairShare
 from hitchdeck_router.scheduling.placement import CacheRecord
 from hitchdeck_router.scheduling.policy import URGENT_CREDIT, ShardPolicy
@@ -18,7 +19,6 @@
     TicketKey,
     WaitingTicket,
 )
-from hitchdeck_router.scheduling.rooms import Rooms
 
 DEBT_CAP = 20_000.0
 """Weighted cost by which an account may stand above the least served."""
@@ -80,7 +80,7 @@
         self.queues: dict[AccountName, AccountQueue] = {}
         self.tickets: dict[TicketKey, WaitingTicket] = {}
         self.held: dict[TicketKey, HeldSlot] = {}
-        self.rooms = Rooms()
+        self.capacity = ShardCapacity()
         self.cache = CacheRecord()
         self.counters = Counters()
         self.since_patient = 0
@@ -90,7 +90,7 @@
         held: dict[UpstreamName, set[TicketKey]] = defaultdict(set)
         for key, slot in self.held.items():
             held[slot.upstream].add(key)
-        self.rooms.set_upstreams(slots, held, now)
+        self.capacity.set_upstreams(slots, held, now)
 
     def submit(self, ticket: WaitingTicket) -> QueueFull | None:
         """Queue a ticket, or say that its account has too many waiting.
@@ -144,7 +144,7 @@
         slot = self.held.get(key)
         if slot is None:
             return 0.0
-        load = self.rooms.loads.get(slot.upstream)
+        load = self.capacity.loads.get(slot.upstream)
         if load is not None:
             load.observe_gap(gap, now)
         grown = max(0.0, cost - slot.spent)
@@ -163,15 +163,15 @@
         self.fair.settle_estimate(slot.account, slot.pending)
         if not failed and slot.spent:
             self.fair.learn(slot.account, slot.spent)
-        load = self.rooms.loads.get(slot.upstream)
+        load = self.capacity.loads.get(slot.upstream)
         if load is None:
             return
         load.held.discard(key)
         if failed:
-            load.note_failure(now)
+            load.record_failure(now)
         else:
-            load.note_success()
-        self.rooms.refresh(slot.upstream, now)
+            load.record_success()
+        self.capacity.refresh(slot.upstream, now)
 
     def drop_attendant(self, attendant: Incarnation, now: float) -> None:
         """Free all that a router life held or waited for."""
@@ -215,7 +215,7 @@
 
         See docs/design/fairness.md for the derivation.
         """
-        slots = sum(load.slots for load in self.rooms.loads.values())
+        slots = sum(load.slots for load in self.capacity.loads.values())
         shares = [self.fair.shares[one] for one in self.backlogged()]
         largest = max(
             ((one.mean_cost or 0.0) / one.weight for one in shares),
@@ -224,7 +224,7 @@
         return 2 * slots * largest + URGENT_CREDIT
 
     def _next_grant(self, now: float) -> Placed | None:
-        if not self.rooms.free and not self._may_exceed():
+        if not self.capacity.free and not self._may_overcommit():
             return None
         for ticket in self._candidates(now):
             upstream = self._place(ticket, now)
@@ -232,7 +232,7 @@
                 return self._grant(ticket, upstream, now)
         return None
 
-    def _may_exceed(self) -> bool:
+    def _may_overcommit(self) -> bool:
         """Tell whether urgent work waits that may go beyond the slots."""
         return self.policy.urgent_overcommit > 0 and any(
             queue.heaps[Urgency.urgent] for queue in self.queues.values()
@@ -271,13 +271,13 @@
 
     def _place(self, ticket: WaitingTicket, now: float) -> UpstreamName | None:
         preferred = self.cache.holder(ticket.prefix, ticket.session)
-        chosen = self.rooms.choose(preferred, ticket.avoid)
+        chosen = self.capacity.choose(preferred, ticket.avoid)
         extra = self.policy.urgent_overcommit
         if chosen is not None or not extra:
             return chosen
         if ticket.urgency_at(now) is not Urgency.urgent:
             return None
-        return self.rooms.choose_beyond(preferred, ticket.avoid, extra, now)
+        return self.capacity.choose_overcommitted(preferred, ticket.avoid, extra, now)
 
     def _grant(
         self,
@@ -299,10 +299,10 @@
 
     def _hold(self, key: TicketKey, slot: HeldSlot, now: float) -> None:
         self.held[key] = slot
-        load = self.rooms.loads.get(slot.upstream)
+        load = self.capacity.loads.get(slot.upstream)
         if load is not None:
             load.held.add(key)
-            self.rooms.refresh(slot.upstream, now)
+            self.capacity.refresh(slot.upstream, now)
 
     def _retry_after(self, queue: AccountQueue) -> float:
         running = max(1, len(self.held))
--- a/packages/router/src/hitchdeck_router/serving/status.py
+++ b/packages/router/src/hitchdeck_router/serving/status.py
@@ -72,7 +72,7 @@
         counters = scheduler.counters
         yield _line('shard_service_gap', scheduler.service_gap(), shard=shard)
         yield _line('shard_gap_bound', scheduler.gap_bound(), shard=shard)
-        yield _line('shard_free_slots', scheduler.rooms.free_slots(), shard=shard)
+        yield _line('shard_free_slots', scheduler.capacity.free_slots(), shard=shard)
         yield _line('shard_held_slots', len(scheduler.held), shard=shard)
         yield _line('shard_waiting', len(scheduler.tickets), shard=shard)
         yield _line('shard_granted_total', counters.granted, shard=shard)
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -221,16 +221,16 @@
     bench.grant()
     bench.scheduler.drop_attendant(LIFE, 0)
     assert not bench.scheduler.tickets
-    assert bench.scheduler.rooms.free_slots() == 2
+    assert bench.scheduler.capacity.free_slots() == 2
 
 
 def test_failing_upstream_gets_a_pause_then_one_trial() -> None:
     load = UpstreamLoad(8, 8.0)
-    load.note_failure(0)
-    assert load.room(0.1) == 0
-    assert load.room(1.0) == 1
-    load.note_success()
-    assert load.room(1.0) == 8
+    load.record_failure(0)
+    assert load.free_slots(0.1) == 0
+    assert load.free_slots(1.0) == 1
+    load.record_success()
+    assert load.free_slots(1.0) == 8
 
 
 def test_limit_follows_token_gaps() -> None:
@@ -261,7 +261,7 @@
     bench = Bench()
     bench.submit('a')
     ticket = next(iter(bench.scheduler.tickets.values()))
-    ticket.avoid = frozenset(bench.scheduler.rooms.loads)
+    ticket.avoid = frozenset(bench.scheduler.capacity.loads)
     assert bench.grant() == ['a']
 
 
--- a/tests/fuzz/test_scheduler_fuzz.py
+++ b/tests/fuzz/test_scheduler_fuzz.py
@@ -55,7 +55,7 @@
     def grant(self, seconds: float) -> None:
         """Let time pass and grant."""
         self.now += seconds
-        self.scheduler.rooms.refresh_all(self.now)
+        self.scheduler.capacity.refresh_all(self.now)
         for placed in self.scheduler.grants(self.now):
             key = placed.ticket.key
             assert key in self.waiting, 'granted twice or never asked for'
@@ -111,7 +111,7 @@
     def no_upstream_is_over_its_slots(self) -> None:
         """Urgent work alone may go beyond, by the overcommit."""
         for name, most in self.slots.items():
-            load = self.scheduler.rooms.loads[name]
+            load = self.scheduler.capacity.loads[name]
             assert len(load.held) <= most + OVERCOMMIT
             expected = {
                 key
