--- a/bench/load.py
+++ b/bench/load.py
@@ -16,7 +16,7 @@
 from hitchdeck_router.dispatch.calls import CallRequest, UpstreamCall, open_call
 from hitchdeck_router.dispatch.sse import DONE, EventReader
 from hitchdeck_router.errors import UpstreamError
-from hitchdeck_router.scheduling.costs import OUTPUT_TOKEN, prompt_cost
+from hitchdeck_router.scheduling.costs import OUTPUT_TOKEN_COST, prompt_cost
 
 _OK = 200
 _SHORTEST_PAUSE = 0.1
@@ -160,7 +160,7 @@
     if b'"content"' not in event:
         return
     now = time.monotonic()
-    cost = OUTPUT_TOKEN
+    cost = OUTPUT_TOKEN_COST
     if not sample.tokens:
         sample.first_at = now
         cost += prompt_cost(body_size)
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -19,7 +19,7 @@
 from hitchdeck_router.dispatch.pauses import heed
 from hitchdeck_router.dispatch.requests import Admitted
 from hitchdeck_router.errors import AnswerCutError, UpstreamBrokenError
-from hitchdeck_router.scheduling.costs import SERVICE_CALL
+from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.scheduling.holding import Slot
 
 
@@ -65,7 +65,7 @@
     progress = Progress(repeatable=request.repeatable and admitted.key is None)
 
     async def run_once(grant: Slot, upstream: Upstream) -> None:
-        grant.spend(SERVICE_CALL)
+        grant.spend(SERVICE_CALL_COST)
         call = await open_call(
             upstream.address,
             CallRequest(
--- a/packages/router/src/hitchdeck_router/scheduling/costs.py
+++ b/packages/router/src/hitchdeck_router/scheduling/costs.py
@@ -5,20 +5,20 @@
 2024, use the same weights).  A call to a plain service is a fixed cost.
 """
 
-PROMPT_TOKEN = 1.0
-OUTPUT_TOKEN = 2.0
-SERVICE_CALL = 100.0
+PROMPT_TOKEN_COST = 1.0
+OUTPUT_TOKEN_COST = 2.0
+SERVICE_CALL_COST = 100.0
 
 _CHARACTERS_PER_TOKEN = 4
-_TYPICAL_OUTPUT = 128
+_TYPICAL_OUTPUT_TOKENS = 128
 
 
 def prompt_cost(characters: int) -> float:
     """Return the rough cost of a prompt from its length in characters."""
-    return max(1, characters // _CHARACTERS_PER_TOKEN) * PROMPT_TOKEN
+    return max(1, characters // _CHARACTERS_PER_TOKEN) * PROMPT_TOKEN_COST
 
 
-def cost_hint(characters: int, most_output: int | None) -> float:
+def cost_hint(characters: int, max_output_tokens: int | None) -> float:
     """Return a rough cost before the run.
 
     Parameters
@@ -28,10 +28,10 @@
     most_output
         The caller's limit on generated tokens, if it set one.
     """
-    output = min(most_output or _TYPICAL_OUTPUT, _TYPICAL_OUTPUT)
-    return prompt_cost(characters) + output * OUTPUT_TOKEN
+    output = min(max_output_tokens or _TYPICAL_OUTPUT_TOKENS, _TYPICAL_OUTPUT_TOKENS)
+    return prompt_cost(characters) + output * OUTPUT_TOKEN_COST
 
 
 def run_cost(prompt_tokens: float, output_tokens: int) -> float:
     """Return the cost of what ran."""
-    return prompt_tokens * PROMPT_TOKEN + output_tokens * OUTPUT_TOKEN
+    return prompt_tokens * PROMPT_TOKEN_COST + output_tokens * OUTPUT_TOKEN_COST
--- a/packages/router/src/hitchdeck_router/scheduling/fairness.py
+++ b/packages/router/src/hitchdeck_router/scheduling/fairness.py
@@ -18,10 +18,10 @@
 
 from hitchdeck_core.ids import AccountName
 
-_ESTIMATE_MEMORY = 0.8
+_MEAN_COST_SMOOTHING = 0.8
 """Weight of the past in an account's running mean of cost."""
 
-_LARGEST_HINT_FACTOR = 4.0
+_MAX_HINT_FACTOR = 4.0
 """How far a caller's hint may move the estimate from the mean, either way."""
 
 
@@ -36,7 +36,7 @@
     mean_cost: float | None = None
     seen: bool = False
 
-    def virtual(self) -> float:
+    def virtual_service(self) -> float:
         """Return the weighted service, the lift included."""
         return self.lift + (self.service + self.pending) / self.weight
 
@@ -60,7 +60,7 @@
         """Return an account's share, made on first use."""
         return self.shares.setdefault(account, AccountShare())
 
-    def enter(
+    def activate(
         self,
         account: AccountName,
         weight: float,
@@ -74,10 +74,10 @@
         """
         share = self.share_of(account)
         share.weight = weight
-        others = [self.shares[one].virtual() for one in backlogged]
+        others = [self.shares[one].virtual_service() for one in backlogged]
         floor = min(others, default=self.floor)
         self.floor = max(self.floor, floor)
-        gap = floor - share.virtual()
+        gap = floor - share.virtual_service()
         if gap > 0 or not share.seen:
             share.lift += gap
         elif gap < -self.debt_cap:
@@ -89,30 +89,30 @@
         mean = self.share_of(account).mean_cost
         if mean is None:
             return hint
-        low, high = mean / _LARGEST_HINT_FACTOR, mean * _LARGEST_HINT_FACTOR
+        low, high = mean / _MAX_HINT_FACTOR, mean * _MAX_HINT_FACTOR
         return (mean + min(high, max(low, hint))) / 2
 
-    def charge(self, account: AccountName, estimate: float) -> None:
+    def charge_estimate(self, account: AccountName, estimate: float) -> None:
         """Charge a grant's estimate."""
         share = self.share_of(account)
         share.pending += estimate
-        self.floor = max(self.floor, share.virtual() - estimate / share.weight)
+        self.floor = max(self.floor, share.virtual_service() - estimate / share.weight)
 
     def settle_estimate(self, account: AccountName, used: float) -> None:
         """Drop a part of an estimate: it was used up, or was too high."""
         share = self.share_of(account)
         share.pending = max(0.0, share.pending - used)
 
-    def serve(self, account: AccountName, cost: float) -> None:
+    def add_service(self, account: AccountName, cost: float) -> None:
         """Count actual cost, run here or in another shard."""
         self.share_of(account).service += cost
 
-    def learn(self, account: AccountName, cost: float) -> None:
+    def update_mean_cost(self, account: AccountName, cost: float) -> None:
         """Take a finished request into the account's mean cost."""
         share = self.share_of(account)
         if share.mean_cost is None:
             share.mean_cost = cost
             return
         share.mean_cost = (
-            _ESTIMATE_MEMORY * share.mean_cost + (1 - _ESTIMATE_MEMORY) * cost
+            _MEAN_COST_SMOOTHING * share.mean_cost + (1 - _MEAN_COST_SMOOTHING) * cost
         )
--- a/packages/router/src/hitchdeck_router/scheduling/host.py
+++ b/packages/router/src/hitchdeck_router/scheduling/host.py
@@ -178,7 +178,7 @@
             known = hosted.elsewhere.get(account)
             hosted.elsewhere[account] = one.cost
             if known is not None and one.cost > known:
-                hosted.scheduler.fair.serve(account, one.cost - known)
+                hosted.scheduler.fair.add_service(account, one.cost - known)
 
     def take_sums(
         self,
@@ -196,7 +196,7 @@
             account = AccountName(one.account)
             missed = one.cost - attendant.sums.get(account, 0.0)
             if attendant.known and missed > 0:
-                hosted.scheduler.fair.serve(account, missed)
+                hosted.scheduler.fair.add_service(account, missed)
             attendant.sums[account] = float(one.cost)
         attendant.known = True
 
--- a/packages/router/src/hitchdeck_router/scheduling/placement.py
+++ b/packages/router/src/hitchdeck_router/scheduling/placement.py
@@ -9,18 +9,18 @@
 
 from hitchdeck_core.ids import UpstreamName
 
-_MOST_BLOCKS = 20_000
+_MAX_ENTRIES = 20_000
 
 
-class CacheRecord:
+class CacheIndex:
     """Prefix blocks and sessions by the upstream that last had them."""
 
-    def __init__(self, most: int = _MOST_BLOCKS) -> None:
-        self.most = most
+    def __init__(self, max_entries: int = _MAX_ENTRIES) -> None:
+        self.max_entries = max_entries
         self.blocks: OrderedDict[int, UpstreamName] = OrderedDict()
         self.sessions: OrderedDict[str, UpstreamName] = OrderedDict()
 
-    def note(
+    def add(
         self,
         upstream: UpstreamName,
         prefix: Iterable[int],
@@ -30,13 +30,13 @@
         for block in prefix:
             self.blocks[block] = upstream
             self.blocks.move_to_end(block)
-        while len(self.blocks) > self.most:
+        while len(self.blocks) > self.max_entries:
             self.blocks.popitem(last=False)
         if not session:
             return
         self.sessions[session] = upstream
         self.sessions.move_to_end(session)
-        while len(self.sessions) > self.most:
+        while len(self.sessions) > self.max_entries:
             self.sessions.popitem(last=False)
 
     def forget(self, upstream: UpstreamName, blocks: Iterable[int]) -> None:
@@ -45,7 +45,7 @@
             if self.blocks.get(block) == upstream:
                 self.blocks.pop(block)
 
-    def holder(self, prefix: tuple[int, ...], session: str) -> UpstreamName | None:
+    def lookup(self, prefix: tuple[int, ...], session: str) -> UpstreamName | None:
         """Return the upstream with the session or the longest known prefix."""
         if session in self.sessions:
             return self.sessions[session]
@@ -66,7 +66,7 @@
     """
     if preferred is not None and available.get(preferred, 0) > 0:
         return preferred
-    emptiest = max(available, key=lambda name: (available[name], name), default=None)
-    if emptiest is None or available[emptiest] <= 0:
+    most_free = max(available, key=lambda name: (available[name], name), default=None)
+    if most_free is None or available[most_free] <= 0:
         return None
-    return emptiest
+    return most_free
--- a/packages/router/src/hitchdeck_router/scheduling/policy.py
+++ b/packages/router/src/hitchdeck_router/scheduling/policy.py
@@ -18,8 +18,8 @@
 def least_served(share: AccountShare, head: WaitingTicket, now: float) -> float:
     """Rank by weighted service; urgent work may borrow a bounded credit."""
     if head.urgency_at(now) is Urgency.urgent:
-        return share.virtual() - URGENT_CREDIT
-    return share.virtual()
+        return share.virtual_service() - URGENT_CREDIT
+    return share.virtual_service()
 
 
 @dataclass(slots=True)
--- a/packages/router/src/hitchdeck_router/scheduling/queueing.py
+++ b/packages/router/src/hitchdeck_router/scheduling/queueing.py
@@ -9,7 +9,7 @@
 TicketKey = tuple[Incarnation, TicketId]
 """A ticket's identity in a shard: the router life and its number there."""
 
-_ESCALATION_SLACK = 30.0
+_ESCALATION_SECONDS = 30.0
 """Seconds before its deadline at which any ticket becomes urgent."""
 
 
@@ -29,7 +29,7 @@
     session: str = ''
     prefix: tuple[int, ...] = ()
     avoid: frozenset[UpstreamName] = frozenset()
-    gone: bool = False
+    cancelled: bool = False
 
     @property
     def attendant(self) -> Incarnation:
@@ -38,7 +38,7 @@
 
     def urgency_at(self, now: float) -> Urgency:
         """Return the urgency, which rises as the deadline comes near."""
-        if self.deadline - now < _ESCALATION_SLACK:
+        if self.deadline - now < _ESCALATION_SECONDS:
             return Urgency.urgent
         return self.urgency
 
@@ -72,19 +72,19 @@
             default=None,
         )
 
-    def longest_waiting(self) -> float:
+    def oldest_since(self) -> float:
         """Return since when the oldest head waits, infinite if none does."""
         tops = (self._top(urgency) for urgency in Urgency)
         return min((one.since for one in tops if one), default=float('inf'))
 
     def remove(self, ticket: WaitingTicket) -> None:
         """Take a ticket out, wherever it stands."""
-        if not ticket.gone:
-            ticket.gone = True
+        if not ticket.cancelled:
+            ticket.cancelled = True
             self.length -= 1
 
     def _top(self, urgency: Urgency) -> WaitingTicket | None:
         heap = self.heaps[urgency]
-        while heap and heap[0][-1].gone:
+        while heap and heap[0][-1].cancelled:
             heapq.heappop(heap)
         return heap[0][-1] if heap else None
--- a/packages/router/src/hitchdeck_router/scheduling/service.py
+++ b/packages/router/src/hitchdeck_router/scheduling/service.py
@@ -108,7 +108,7 @@
             self._adopt(hosted, attendant, held)
         for place in frame.places:
             upstream = UpstreamName(place.upstream)
-            hosted.scheduler.cache.note(upstream, (), place.session)
+            hosted.scheduler.cache.add(upstream, (), place.session)
         if frame.shard:
             self.host.take_sums(hosted, attendant, frame.usage)
         for report in frame.reports:
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.resources import Urgency
 from hitchdeck_router.scheduling.capacity import ShardCapacity
 from hitchdeck_router.scheduling.fairness import FairShare
-from hitchdeck_router.scheduling.placement import CacheRecord
+from hitchdeck_router.scheduling.placement import CacheIndex
 from hitchdeck_router.scheduling.policy import URGENT_CREDIT, ShardPolicy
 from hitchdeck_router.scheduling.queueing import (
     AccountQueue,
@@ -81,7 +81,7 @@
         self.tickets: dict[TicketKey, WaitingTicket] = {}
         self.held: dict[TicketKey, HeldSlot] = {}
         self.capacity = ShardCapacity()
-        self.cache = CacheRecord()
+        self.cache = CacheIndex()
         self.counters = Counters()
         self.since_patient = 0
 
@@ -105,7 +105,7 @@
             return QueueFull(self._retry_after(queue))
         if not queue.length:
             weight = self.policy.weight_of(ticket.account)
-            self.fair.enter(ticket.account, weight, self.backlogged())
+            self.fair.activate(ticket.account, weight, self.backlogged())
         queue.push(ticket)
         self.tickets[ticket.key] = ticket
         return None
@@ -150,7 +150,7 @@
         grown = max(0.0, cost - slot.spent)
         used = min(slot.pending, grown)
         self.fair.settle_estimate(slot.account, used)
-        self.fair.serve(slot.account, grown)
+        self.fair.add_service(slot.account, grown)
         slot.pending -= used
         slot.spent += grown
         return grown
@@ -162,7 +162,7 @@
             return
         self.fair.settle_estimate(slot.account, slot.pending)
         if not failed and slot.spent:
-            self.fair.learn(slot.account, slot.spent)
+            self.fair.update_mean_cost(slot.account, slot.spent)
         load = self.capacity.loads.get(slot.upstream)
         if load is None:
             return
@@ -207,8 +207,10 @@
 
     def service_gap(self) -> float:
         """Return the widest gap in weighted service among the backlogged."""
-        virtual = [self.fair.shares[one].virtual() for one in self.backlogged()]
-        return max(virtual) - min(virtual) if virtual else 0.0
+        virtual_service = [
+            self.fair.shares[one].virtual_service() for one in self.backlogged()
+        ]
+        return max(virtual_service) - min(virtual_service) if virtual_service else 0.0
 
     def gap_bound(self) -> float:
         """Return the bound on that gap: twice what can be in flight, plus credit.
@@ -262,15 +264,15 @@
             return None
         queue = min(
             (self.queues[name] for name in self.backlogged()),
-            key=lambda one: one.longest_waiting(),
+            key=lambda one: one.oldest_since(),
             default=None,
         )
-        if queue is None or now - queue.longest_waiting() < PATIENCE:
+        if queue is None or now - queue.oldest_since() < PATIENCE:
             return None
         return queue.head(now)
 
     def _place(self, ticket: WaitingTicket, now: float) -> UpstreamName | None:
-        preferred = self.cache.holder(ticket.prefix, ticket.session)
+        preferred = self.cache.lookup(ticket.prefix, ticket.session)
         chosen = self.capacity.choose(preferred, ticket.avoid)
         extra = self.policy.urgent_overcommit
         if chosen is not None or not extra:
@@ -287,10 +289,10 @@
     ) -> Placed:
         self.cancel(ticket.key)
         estimate = self.fair.estimate(ticket.account, ticket.hint)
-        self.fair.charge(ticket.account, estimate)
+        self.fair.charge_estimate(ticket.account, estimate)
         self._hold(ticket.key, HeldSlot(ticket.account, upstream, estimate), now)
         known = self.cache.sessions.get(ticket.session, upstream)
-        self.cache.note(upstream, ticket.prefix, ticket.session)
+        self.cache.add(upstream, ticket.prefix, ticket.session)
         self.since_patient += 1
         if self.since_patient > _PATIENT_TURN:
             self.since_patient = 0
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -19,7 +19,7 @@
     run_service,
 )
 from hitchdeck_router.errors import AnswerCutError, NotRunError
-from hitchdeck_router.scheduling.costs import SERVICE_CALL
+from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.serving import admission
 from hitchdeck_router.serving.base import RAN_HEADER, Door
 from hitchdeck_router.serving.replay import check_replayable
@@ -91,7 +91,7 @@
                 headers,
             ),
             deadline=admission.check_deadline(headers),
-            hint=SERVICE_CALL,
+            hint=SERVICE_CALL_COST,
             body=body,
             session=admission.check_session(view, account, pool, headers),
             key=admission.check_key(headers, self.request.uri or '', body),
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -33,7 +33,7 @@
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.view import FleetView
-from hitchdeck_router.scheduling.placement import CacheRecord, choose_upstream
+from hitchdeck_router.scheduling.placement import CacheIndex, choose_upstream
 from hitchdeck_router.serving.addresses import addresses_for
 
 U1, U2 = UpstreamName('u1'), UpstreamName('u2')
@@ -213,20 +213,20 @@
 
 
 def test_placement_prefers_the_cache_unless_it_is_full() -> None:
-    record = CacheRecord()
-    record.note(U1, (1, 2))
-    record.note(U2, (), 'session')
-    assert record.holder((1, 2, 3), '') == U1
-    assert record.holder((1,), 'session') == U2
-    assert record.holder((9,), '') is None
+    record = CacheIndex()
+    record.add(U1, (1, 2))
+    record.add(U2, (), 'session')
+    assert record.lookup((1, 2, 3), '') == U1
+    assert record.lookup((1,), 'session') == U2
+    assert record.lookup((9,), '') is None
     assert choose_upstream({U1: 1, U2: 5}, U1) == U1
     assert choose_upstream({U1: 0, U2: 5}, U1) == U2
     assert choose_upstream({U1: 0, U2: -1}, U1) is None
 
 
 def test_record_of_caches_is_bounded_and_takes_hints() -> None:
-    record = CacheRecord(most=3)
-    record.note(U1, range(10))
+    record = CacheIndex(max_entries=3)
+    record.add(U1, range(10))
     assert list(record.blocks) == [7, 8, 9]
     record.forget(U2, [9])
     record.forget(U1, [8])
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -132,8 +132,8 @@
 
 def test_debt_from_elsewhere_is_capped() -> None:
     bench = Bench()
-    bench.scheduler.fair.enter(AccountName('debtor'), 1, [])
-    bench.scheduler.fair.serve(AccountName('debtor'), 1e9)
+    bench.scheduler.fair.activate(AccountName('debtor'), 1, [])
+    bench.scheduler.fair.add_service(AccountName('debtor'), 1e9)
     served = []
     for _ in range(200):
         bench.keep_backlogged('other', 'debtor')
@@ -147,7 +147,7 @@
     served = []
     for _ in range(100):
         bench.keep_backlogged('other', 'debtor')
-        bench.scheduler.fair.serve(AccountName('debtor'), 1e6)
+        bench.scheduler.fair.add_service(AccountName('debtor'), 1e6)
         served += bench.grant()
         bench.finish_all()
         bench.now += PATIENCE / 4
@@ -160,7 +160,7 @@
     bench.submit('b', Urgency.urgent)
     assert bench.grant() == ['b']
     bench.finish_all()
-    bench.scheduler.fair.serve(AccountName('b'), 2 * URGENT_CREDIT)
+    bench.scheduler.fair.add_service(AccountName('b'), 2 * URGENT_CREDIT)
     bench.submit('b', Urgency.urgent)
     assert bench.grant() == ['a']
 
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -128,7 +128,7 @@
     Mechanism(
         'least served first',
         f'{_ROUTER}/scheduling/policy.py',
-        '    return share.virtual()\n',
+        '    return share.virtual_service()\n',
         '    return head.since\n',
         'test_service_follows_the_weights',
     ),
