--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -148,7 +148,7 @@
                 if frame.leader_address:
                     self.leader = Address(frame.leader_address)
                     raise LinkError(f'the leader is {frame.leader_address}')
-                self._take(frame)
+                self._handle_frame(frame)
                 if frame.HasField('delta'):
                     self.beat_now.notify()
         finally:
@@ -182,7 +182,7 @@
         if news.casualties or news.verdicts:
             beat.quarantine.CopyFrom(encode_news(news, quarantine.now()))
 
-    def _take(self, frame: ControlFrame) -> None:
+    def _handle_frame(self, frame: ControlFrame) -> None:
         self.connected = True
         self.fleet.traffic.count(_LINK, frame)
         if frame.HasField('delta') and not self.fleet.view.apply(frame.delta):
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -166,7 +166,7 @@
         UsageExchange(
             grown=context.finder.usage_to_tell,
             tell_all=context.finder.forget_told,
-            take=context.host.take_usage_elsewhere,
+            take=context.host.apply_remote_usage,
         ),
     )
 
--- a/packages/router/src/hitchdeck_router/scheduling/client.py
+++ b/packages/router/src/hitchdeck_router/scheduling/client.py
@@ -150,7 +150,7 @@
                     frame = await stream.recv_message()
                 if frame is None or frame.not_owner:
                     raise LinkError('it schedules the shard no more')
-                self._take(frame)
+                self._handle_frame(frame)
             raise LinkError('the duty has moved')
         finally:
             sending.cancel()
@@ -243,7 +243,7 @@
         self.fleet.traffic.count('ticket', frame)
         await stream.send_message(frame)
 
-    def _take(self, frame: SchedulerFrame) -> None:
+    def _handle_frame(self, frame: SchedulerFrame) -> None:
         self.fleet.traffic.count('ticket', frame)
         for grant in frame.grants:
             self._take_grant(grant)
--- a/packages/router/src/hitchdeck_router/scheduling/host.py
+++ b/packages/router/src/hitchdeck_router/scheduling/host.py
@@ -31,26 +31,26 @@
 """How long a new scheduler listens before it grants: routers re-send what
 they hold within a directory push and a connection."""
 
-SLOT_LEASE = 3.0
+SLOT_LEASE_SECONDS = 3.0
 """Seconds after its last word for which a router's slots count as held."""
 
-_MAINTENANCE_PERIOD = 0.1
-_IDLE_PERIOD = 1.0
-_ADVERTISE_PERIOD = 1.0
+_MAINTENANCE_PERIOD_SECONDS = 0.1
+_IDLE_PERIOD_SECONDS = 1.0
+_ADVERTISE_PERIOD_SECONDS = 1.0
 
 QUEUE_FULL = 'queue-full'
 DEADLINE_PASSED = 'deadline-passed'
 
 
 @dataclass(slots=True)
-class Attendant:
+class RouterPeer:
     """A router life that attends a shard; seconds on this box's clock."""
 
     incarnation: Incarnation
     heard_at: float
     outbox: Outbox[SchedulerFrame] | None = None
     sums: dict[AccountName, float] = field(default_factory=dict)
-    known: bool = False
+    has_baseline: bool = False
 
 
 @dataclass(slots=True)
@@ -59,13 +59,13 @@
 
     shard: ShardId
     epoch: int
-    granting_from: float
+    grants_from: float
     scheduler: ShardScheduler
-    attendants: dict[Incarnation, Attendant] = field(default_factory=dict)
+    peers: dict[Incarnation, RouterPeer] = field(default_factory=dict)
     advertised: tuple[bool, bool, bool] | None = None
     advertised_at: float = 0.0
-    elsewhere: dict[AccountName, float] = field(default_factory=dict)
-    elsewhere_term: int = 0
+    remote_usage: dict[AccountName, float] = field(default_factory=dict)
+    remote_usage_term: int = 0
     measured_at: float = 0.0
 
 
@@ -82,22 +82,24 @@
         self.incarnation = incarnation
         self.rank = rank
         self.shards: dict[ShardId, HostedShard] = {}
-        self.known_version = -1
+        self.applied_version = -1
 
     async def maintain(self) -> None:
         """Follow the directory, lapse the dead, grant; for ever."""
         while True:
-            period = _MAINTENANCE_PERIOD if self.shards else _IDLE_PERIOD
+            period = (
+                _MAINTENANCE_PERIOD_SECONDS if self.shards else _IDLE_PERIOD_SECONDS
+            )
             await self.fleet.directory.changed.wait(period)
-            self.follow_directory()
-            self.follow_configuration()
+            self.apply_directory()
+            self.apply_configuration()
             for hosted in list(self.shards.values()):
-                self._lapse_silent(hosted)
+                self._drop_silent_routers(hosted)
                 self._refuse_expired(hosted)
                 hosted.scheduler.capacity.refresh_all(self.fleet.now())
-                self.pump(hosted)
+                self.grant_and_advertise(hosted)
 
-    def follow_directory(self) -> None:
+    def apply_directory(self) -> None:
         """Start and stop shards as the leader assigns them."""
         mine = {
             shard: entry
@@ -107,48 +109,48 @@
         for shard, hosted in list(self.shards.items()):
             entry = mine.get(shard)
             if entry is None or entry.epoch != hosted.epoch:
-                self._lay_down(hosted)
+                self._stop_shard(hosted)
         for shard, entry in mine.items():
             if shard not in self.shards and pool_of(shard) in self.fleet.view.pools:
-                self._take_up(shard, entry)
+                self._start_shard(shard, entry)
 
-    def follow_configuration(self) -> None:
+    def apply_configuration(self) -> None:
         """Take up upstreams, slots and limits of a new version."""
-        if self.known_version == self.fleet.view.version:
+        if self.applied_version == self.fleet.view.version:
             return
-        self.known_version = self.fleet.view.version
+        self.applied_version = self.fleet.view.version
         for hosted in list(self.shards.values()):
             pool = self.fleet.view.pools.get(pool_of(hosted.shard))
             if pool is None:
-                self._lay_down(hosted)
+                self._stop_shard(hosted)
                 continue
             hosted.scheduler.policy = self._policy(pool)
             slots = self._slots_of(hosted.shard, pool)
             hosted.scheduler.set_upstreams(slots, self.fleet.now())
 
-    def pump(self, hosted: HostedShard) -> None:
+    def grant_and_advertise(self, hosted: HostedShard) -> None:
         """Grant whatever can be granted, and tell routers how things stand.
 
         Nothing is granted without a live configuration lease: this router
         may have been cut off, and another may hold the duty by now.
         """
         now = self.fleet.now()
-        if now >= hosted.granting_from and self.fleet.lease.is_live():
+        if now >= hosted.grants_from and self.fleet.lease.is_live():
             for placed in hosted.scheduler.grants(now):
-                attendant = hosted.attendants.get(placed.ticket.attendant)
+                peer = hosted.peers.get(placed.ticket.incarnation)
                 grant = Grant(
                     id=placed.ticket.key[1],
                     upstream=placed.upstream,
                     moved_from=placed.moved_from,
                 )
-                self._tell(hosted, attendant, SchedulerFrame(grants=[grant]))
-        self._measure(hosted, now)
+                self._send_frame(hosted, peer, SchedulerFrame(grants=[grant]))
+        self._update_counters(hosted, now)
         self._advertise(hosted, now)
 
     def refuse(
         self,
         hosted: HostedShard,
-        attendant: Attendant | None,
+        peer: RouterPeer | None,
         ticket: TicketId,
         reason: str,
         retry_after: float,
@@ -159,9 +161,9 @@
             reason=reason,
             retry_after_ms=int(retry_after * 1000),
         )
-        self._tell(hosted, attendant, SchedulerFrame(refusals=[refusal]))
+        self._send_frame(hosted, peer, SchedulerFrame(refusals=[refusal]))
 
-    def take_usage_elsewhere(self, sums: Iterable[UsageSum], term: int) -> None:
+    def apply_remote_usage(self, sums: Iterable[UsageSum], term: int) -> None:
         """Count what other shards have served, as the leader sums it up.
 
         A new leader's sums lack what routers told only the old one, so its
@@ -171,19 +173,19 @@
             hosted = self.shards.get(ShardId(one.shard))
             if hosted is None:
                 continue
-            if hosted.elsewhere_term != term:
-                hosted.elsewhere_term = term
-                hosted.elsewhere.clear()
+            if hosted.remote_usage_term != term:
+                hosted.remote_usage_term = term
+                hosted.remote_usage.clear()
             account = AccountName(one.account)
-            known = hosted.elsewhere.get(account)
-            hosted.elsewhere[account] = one.cost
+            known = hosted.remote_usage.get(account)
+            hosted.remote_usage[account] = one.cost
             if known is not None and one.cost > known:
                 hosted.scheduler.fair.add_service(account, one.cost - known)
 
-    def take_sums(
+    def reconcile_usage(
         self,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         sums: Iterable[UsageSum],
     ) -> None:
         """Reconcile a router's sums with what its reports added up to.
@@ -194,13 +196,13 @@
         """
         for one in sums:
             account = AccountName(one.account)
-            missed = one.cost - attendant.sums.get(account, 0.0)
-            if attendant.known and missed > 0:
+            missed = one.cost - peer.sums.get(account, 0.0)
+            if peer.has_baseline and missed > 0:
                 hosted.scheduler.fair.add_service(account, missed)
-            attendant.sums[account] = float(one.cost)
-        attendant.known = True
+            peer.sums[account] = float(one.cost)
+        peer.has_baseline = True
 
-    def _take_up(self, shard: ShardId, entry: ShardEntry) -> None:
+    def _start_shard(self, shard: ShardId, entry: ShardEntry) -> None:
         pool = self.fleet.view.pools[pool_of(shard)]
         scheduler = ShardScheduler(self._policy(pool))
         now = self.fleet.now()
@@ -208,17 +210,17 @@
         self.shards[shard] = HostedShard(
             shard=shard,
             epoch=int(entry.epoch),
-            granting_from=now + REBUILD_SECONDS,
+            grants_from=now + REBUILD_SECONDS,
             scheduler=scheduler,
             measured_at=now,
         )
         logs.info('schedules', shard=shard, epoch=entry.epoch)
 
-    def _lay_down(self, hosted: HostedShard) -> None:
+    def _stop_shard(self, hosted: HostedShard) -> None:
         self.shards.pop(hosted.shard)
         frame = SchedulerFrame(not_owner=True, epoch=hosted.epoch)
-        for attendant in hosted.attendants.values():
-            self._tell(hosted, attendant, frame)
+        for peer in hosted.peers.values():
+            self._send_frame(hosted, peer, frame)
         logs.info('schedules no more', shard=hosted.shard, epoch=hosted.epoch)
 
     def _policy(self, pool: Pool) -> ShardPolicy:
@@ -243,12 +245,12 @@
             if belongs_to(one, shard, pool)
         }
 
-    def _lapse_silent(self, hosted: HostedShard) -> None:
+    def _drop_silent_routers(self, hosted: HostedShard) -> None:
         now = self.fleet.now()
-        for incarnation, attendant in list(hosted.attendants.items()):
-            if now - attendant.heard_at > SLOT_LEASE:
-                hosted.attendants.pop(incarnation)
-                hosted.scheduler.drop_attendant(incarnation, now)
+        for incarnation, peer in list(hosted.peers.items()):
+            if now - peer.heard_at > SLOT_LEASE_SECONDS:
+                hosted.peers.pop(incarnation)
+                hosted.scheduler.drop_router(incarnation, now)
                 logs.warning(
                     'slots of a silent router lapse',
                     shard=hosted.shard,
@@ -256,25 +258,25 @@
                 )
 
     def _refuse_expired(self, hosted: HostedShard) -> None:
-        for ticket in hosted.scheduler.expired(self.fleet.now()):
-            attendant = hosted.attendants.get(ticket.attendant)
-            self.refuse(hosted, attendant, ticket.key[1], DEADLINE_PASSED, 0)
+        for ticket in hosted.scheduler.pop_expired(self.fleet.now()):
+            peer = hosted.peers.get(ticket.incarnation)
+            self.refuse(hosted, peer, ticket.key[1], DEADLINE_PASSED, 0)
 
-    def _tell(
+    def _send_frame(
         self,
         hosted: HostedShard,
-        attendant: Attendant | None,
+        peer: RouterPeer | None,
         frame: SchedulerFrame,
     ) -> None:
-        if attendant is None or attendant.outbox is None:
+        if peer is None or peer.outbox is None:
             return
         try:
-            attendant.outbox.put(frame)
+            peer.outbox.put(frame)
         except LinkError as error:
-            attendant.outbox = None
+            peer.outbox = None
             logs.warning('router too slow', shard=hosted.shard, reason=str(error))
 
-    def _measure(self, hosted: HostedShard, now: float) -> None:
+    def _update_counters(self, hosted: HostedShard, now: float) -> None:
         elapsed, hosted.measured_at = now - hosted.measured_at, now
         if not hosted.scheduler.tickets:
             return
@@ -293,19 +295,19 @@
         free = hosted.scheduler.capacity.free_slots()
         waiting = len(hosted.scheduler.tickets)
         serves = bool(hosted.scheduler.capacity.loads)
-        kind = (free > 0, waiting > 0, serves)
-        overdue = now - hosted.advertised_at > _ADVERTISE_PERIOD
-        if kind == hosted.advertised and not overdue:
+        state = (free > 0, waiting > 0, serves)
+        overdue = now - hosted.advertised_at > _ADVERTISE_PERIOD_SECONDS
+        if state == hosted.advertised and not overdue:
             return
-        hosted.advertised = kind
+        hosted.advertised = state
         hosted.advertised_at = now
         frame = SchedulerFrame(
             free_slots=free,
             waiting=waiting,
             serves=serves,
         )
-        for attendant in hosted.attendants.values():
-            self._tell(hosted, attendant, frame)
+        for peer in hosted.peers.values():
+            self._send_frame(hosted, peer, frame)
 
 
 def belongs_to(upstream: Upstream, shard: ShardId, pool: Pool) -> bool:
--- a/packages/router/src/hitchdeck_router/scheduling/queueing.py
+++ b/packages/router/src/hitchdeck_router/scheduling/queueing.py
@@ -32,7 +32,7 @@
     cancelled: bool = False
 
     @property
-    def attendant(self) -> Incarnation:
+    def incarnation(self) -> Incarnation:
         """The router life that waits for the grant."""
         return self.key[0]
 
--- a/packages/router/src/hitchdeck_router/scheduling/service.py
+++ b/packages/router/src/hitchdeck_router/scheduling/service.py
@@ -23,8 +23,8 @@
 )
 from hitchdeck_router.scheduling.host import (
     QUEUE_FULL,
-    Attendant,
     HostedShard,
+    RouterPeer,
     SchedulerHost,
 )
 from hitchdeck_router.scheduling.queueing import WaitingTicket
@@ -47,112 +47,112 @@
         first = await stream.recv_message()
         if first is None:
             return
-        self.host.follow_directory()
+        self.host.apply_directory()
         hosted = self.host.shards.get(ShardId(first.shard))
         if hosted is None or hosted.epoch != first.epoch:
             await stream.send_message(SchedulerFrame(not_owner=True))
             return
-        attendant = self._attach(hosted, first)
+        peer = self._attach(hosted, first)
         outbox: Outbox[SchedulerFrame] = Outbox()
-        attendant.outbox = outbox
+        peer.outbox = outbox
         sending = asyncio.create_task(self._send(stream, outbox))
         try:
-            await self._receive(stream, hosted, attendant, first)
+            await self._receive(stream, hosted, peer, first)
         finally:
             sending.cancel()
-            if attendant.outbox is outbox:
-                attendant.outbox = None
+            if peer.outbox is outbox:
+                peer.outbox = None
 
-    def _attach(self, hosted: HostedShard, first: RouterFrame) -> Attendant:
+    def _attach(self, hosted: HostedShard, first: RouterFrame) -> RouterPeer:
         incarnation = Incarnation(first.incarnation)
         # A fresh record each time: the task of an earlier stream, should it
         # still read from a half-open connection, sees that it was replaced.
-        attendant = Attendant(incarnation, self.host.fleet.now())
-        earlier = hosted.attendants.get(incarnation)
+        peer = RouterPeer(incarnation, self.host.fleet.now())
+        earlier = hosted.peers.get(incarnation)
         if earlier is not None:
-            attendant.sums = earlier.sums
-            attendant.known = earlier.known
-        hosted.attendants[incarnation] = attendant
+            peer.sums = earlier.sums
+            peer.has_baseline = earlier.has_baseline
+        hosted.peers[incarnation] = peer
         # Whatever it still waits for, a router that connects anew re-sends.
         resent = {(incarnation, TicketId(held.ticket.id)) for held in first.held}
         hosted.scheduler.keep_only(incarnation, resent, self.host.fleet.now())
         hosted.advertised = None
-        return attendant
+        return peer
 
     async def _receive(
         self,
         stream: AttendStream,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         first: RouterFrame,
     ) -> None:
         frame: RouterFrame | None = first
         while frame is not None:
             self.host.fleet.traffic.count(_LINK, frame)
-            attendant.heard_at = self.host.fleet.now()
+            peer.heard_at = self.host.fleet.now()
             # Slots that lapsed while this router was silent are its no more;
             # it must attach anew and say what it still holds.
-            if hosted.attendants.get(attendant.incarnation) is not attendant:
+            if hosted.peers.get(peer.incarnation) is not peer:
                 return
-            self._take(hosted, attendant, frame)
-            self.host.pump(hosted)
+            self._handle_frame(hosted, peer, frame)
+            self.host.grant_and_advertise(hosted)
             frame = await stream.recv_message()
 
-    def _take(
+    def _handle_frame(
         self,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         frame: RouterFrame,
     ) -> None:
         for held in frame.held:
-            self._adopt(hosted, attendant, held)
+            self._adopt(hosted, peer, held)
         for place in frame.places:
             upstream = UpstreamName(place.upstream)
             hosted.scheduler.cache.add(upstream, (), place.session)
         if frame.shard:
-            self.host.take_sums(hosted, attendant, frame.usage)
+            self.host.reconcile_usage(hosted, peer, frame.usage)
         for report in frame.reports:
-            self._take_report(hosted, attendant, report)
+            self._handle_report(hosted, peer, report)
         for cancelled in frame.cancelled:
-            hosted.scheduler.cancel((attendant.incarnation, TicketId(cancelled)))
+            hosted.scheduler.cancel((peer.incarnation, TicketId(cancelled)))
         for ticket in frame.tickets:
-            self._take_ticket(hosted, attendant, ticket)
+            self._handle_ticket(hosted, peer, ticket)
 
-    def _take_report(
+    def _handle_report(
         self,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         report: CostReport,
     ) -> None:
         now = self.host.fleet.now()
-        key = (attendant.incarnation, TicketId(report.id))
+        key = (peer.incarnation, TicketId(report.id))
         slot = hosted.scheduler.held.get(key)
         if slot is None:
             return
         gap = report.token_gap_ms / _MILLISECONDS
         grown = hosted.scheduler.report(key, report.cost, gap, now)
-        attendant.sums[slot.account] = attendant.sums.get(slot.account, 0) + grown
+        peer.sums[slot.account] = peer.sums.get(slot.account, 0) + grown
         if report.released:
             hosted.scheduler.release(key, failed=report.failed, now=now)
 
-    def _take_ticket(
+    def _handle_ticket(
         self,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         ticket: Ticket,
     ) -> None:
         now = self.host.fleet.now()
-        waiting = read_ticket(ticket, attendant.incarnation, now)
+        waiting = read_ticket(ticket, peer.incarnation, now)
         full = hosted.scheduler.submit(waiting)
         if full is not None:
             retry_after = full.retry_after
             number = waiting.key[1]
-            self.host.refuse(hosted, attendant, number, QUEUE_FULL, retry_after)
+            self.host.refuse(hosted, peer, number, QUEUE_FULL, retry_after)
 
     def _adopt(
         self,
         hosted: HostedShard,
-        attendant: Attendant,
+        peer: RouterPeer,
         held: HeldGrant,
     ) -> None:
         """Take over a slot that the router was granted before this epoch."""
@@ -162,7 +162,7 @@
             pending=max(0.0, held.ticket.cost_hint - held.charged),
             spent=held.charged,
         )
-        key = (attendant.incarnation, TicketId(held.ticket.id))
+        key = (peer.incarnation, TicketId(held.ticket.id))
         hosted.scheduler.adopt(key, slot, self.host.fleet.now())
 
     async def _send(
@@ -182,11 +182,11 @@
             return
 
 
-def read_ticket(ticket: Ticket, attendant: Incarnation, now: float) -> WaitingTicket:
+def read_ticket(ticket: Ticket, incarnation: Incarnation, now: float) -> WaitingTicket:
     """Return a ticket as the scheduler keeps it."""
     deadline = now + ticket.deadline_ms / 1000 if ticket.deadline_ms else float('inf')
     return WaitingTicket(
-        key=(attendant, TicketId(ticket.id)),
+        key=(incarnation, TicketId(ticket.id)),
         account=AccountName(ticket.account),
         urgency=Urgency(min(ticket.urgency, max(Urgency))),
         deadline=deadline,
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -23,13 +23,13 @@
 DEBT_CAP = 20_000.0
 """Weighted cost by which an account may stand above the least served."""
 
-PATIENCE = 20.0
+STARVATION_SECONDS = 20.0
 """Seconds after which a waiting ticket may be served out of turn."""
 
-_PATIENT_TURN = 8
+_GRANTS_PER_STARVED_TICKET = 8
 """At most one grant in this many goes out of turn."""
 
-_FIRST_RETRY_AFTER = 0.5
+_MIN_RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedTicket:
     """A ticket that has got a slot.
 
     ``moved_from`` is where its session ran last, if that is elsewhere.
@@ -83,7 +83,7 @@
         self.capacity = ShardCapacity()
         self.cache = CacheIndex()
         self.counters = Counters()
-        self.since_patient = 0
+        self.grants_since_starved = 0
 
     def set_upstreams(self, slots: dict[UpstreamName, int], now: float) -> None:
         """Say which upstreams may get new work, and their slots."""
@@ -116,7 +116,7 @@
         if ticket is not None:
             self.queues[ticket.account].remove(ticket)
 
-    def expired(self, now: float) -> list[WaitingTicket]:
+    def pop_expired(self, now: float) -> list[WaitingTicket]:
         """Take out and return the tickets whose deadline has passed."""
         late = [one for one in self.tickets.values() if one.deadline <= now]
         for ticket in late:
@@ -173,27 +173,27 @@
             load.record_success()
         self.capacity.refresh(slot.upstream, now)
 
-    def drop_attendant(self, attendant: Incarnation, now: float) -> None:
+    def drop_router(self, incarnation: Incarnation, now: float) -> None:
         """Free all that a router life held or waited for."""
-        for waiting in _of_attendant(self.tickets, attendant):
+        for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
-        for key in _of_attendant(self.held, attendant):
+        for key in _keys_of(self.held, incarnation):
             self.release(key, failed=False, now=now)
 
     def keep_only(
         self,
-        attendant: Incarnation,
+        incarnation: Incarnation,
         held: set[TicketKey],
         now: float,
     ) -> None:
         """Forget what a router life that connects anew does not re-send."""
-        for waiting in _of_attendant(self.tickets, attendant):
+        for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
-        for key in _of_attendant(self.held, attendant):
+        for key in _keys_of(self.held, incarnation):
             if key not in held:
                 self.release(key, failed=False, now=now)
 
-    def grants(self, now: float) -> Iterator[Placed]:
+    def grants(self, now: float) -> Iterator[PlacedTicket]:
         """Grant slots while there are tickets and room for them."""
         while self.tickets:
             placed = self._next_grant(now)
@@ -225,7 +225,7 @@
         )
         return 2 * slots * largest + URGENT_CREDIT
 
-    def _next_grant(self, now: float) -> Placed | None:
+    def _next_grant(self, now: float) -> PlacedTicket | None:
         if not self.capacity.free and not self._may_overcommit():
             return None
         for ticket in self._candidates(now):
@@ -251,23 +251,23 @@
         heads.sort(
             key=lambda head: self.policy.rank(shares[head.account], head, now),
         )
-        patient = self._patient_ticket(now)
-        return [patient, *heads] if patient else heads
+        starved = self._starved_ticket(now)
+        return [starved, *heads] if starved else heads
 
-    def _patient_ticket(self, now: float) -> WaitingTicket | None:
+    def _starved_ticket(self, now: float) -> WaitingTicket | None:
         """Return a ticket that has waited too long, once every few grants.
 
         Fair shares alone do not keep a ticket from waiting: its account may
         be served all it is due by another shard.
         """
-        if self.since_patient < _PATIENT_TURN:
+        if self.grants_since_starved < _GRANTS_PER_STARVED_TICKET:
             return None
         queue = min(
             (self.queues[name] for name in self.backlogged()),
             key=lambda one: one.oldest_since(),
             default=None,
         )
-        if queue is None or now - queue.oldest_since() < PATIENCE:
+        if queue is None or now - queue.oldest_since() < STARVATION_SECONDS:
             return None
         return queue.head(now)
 
@@ -286,18 +286,18 @@
         ticket: WaitingTicket,
         upstream: UpstreamName,
         now: float,
-    ) -> Placed:
+    ) -> PlacedTicket:
         self.cancel(ticket.key)
         estimate = self.fair.estimate(ticket.account, ticket.hint)
         self.fair.charge_estimate(ticket.account, estimate)
         self._hold(ticket.key, HeldSlot(ticket.account, upstream, estimate), now)
         known = self.cache.sessions.get(ticket.session, upstream)
         self.cache.add(upstream, ticket.prefix, ticket.session)
-        self.since_patient += 1
-        if self.since_patient > _PATIENT_TURN:
-            self.since_patient = 0
+        self.grants_since_starved += 1
+        if self.grants_since_starved > _GRANTS_PER_STARVED_TICKET:
+            self.grants_since_starved = 0
         self.counters.granted += 1
-        return Placed(ticket, upstream, known if known != upstream else '')
+        return PlacedTicket(ticket, upstream, known if known != upstream else '')
 
     def _hold(self, key: TicketKey, slot: HeldSlot, now: float) -> None:
         self.held[key] = slot
@@ -308,11 +308,11 @@
 
     def _retry_after(self, queue: AccountQueue) -> float:
         running = max(1, len(self.held))
-        return max(_FIRST_RETRY_AFTER, queue.length / running)
+        return max(_MIN_RETRY_AFTER_SECONDS, queue.length / running)
 
 
-def _of_attendant(
+def _keys_of(
     keys: Iterable[TicketKey],
-    attendant: Incarnation,
+    incarnation: Incarnation,
 ) -> list[TicketKey]:
-    return [key for key in keys if key[0] == attendant]
+    return [key for key in keys if key[0] == incarnation]
--- a/packages/router/src/hitchdeck_router/scheduling/slots.py
+++ b/packages/router/src/hitchdeck_router/scheduling/slots.py
@@ -25,7 +25,7 @@
 product with shards."""
 
 _MOVE_PERIOD = 0.1
-_IDLE_PERIOD = 1.0
+_IDLE_PERIOD_SECONDS = 1.0
 _UNAVAILABLE = 503
 _NO_SCHEDULER_PATIENCE = 10.0
 """Seconds; a frozen scheduler is replaced when its lease of 3 s has run out,
@@ -82,7 +82,7 @@
         """Move tickets that wait to shards that are idle; for ever."""
         while True:
             several = len(self.clients) > 1
-            await asyncio.sleep(_MOVE_PERIOD if several else _IDLE_PERIOD)
+            await asyncio.sleep(_MOVE_PERIOD if several else _IDLE_PERIOD_SECONDS)
             for client in list(self.clients.values()):
                 if client.waiting:
                     self._relieve(client)
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -12,7 +12,7 @@
 from hitchdeck_router.scheduling.policy import URGENT_CREDIT, ShardPolicy
 from hitchdeck_router.scheduling.queueing import WaitingTicket
 from hitchdeck_router.scheduling.shard import (
-    PATIENCE,
+    STARVATION_SECONDS,
     HeldSlot,
     QueueFull,
     ShardScheduler,
@@ -150,7 +150,7 @@
         bench.scheduler.fair.add_service(AccountName('debtor'), 1e6)
         served += bench.grant()
         bench.finish_all()
-        bench.now += PATIENCE / 4
+        bench.now += STARVATION_SECONDS / 4
     assert 'debtor' in served
 
 
@@ -188,7 +188,7 @@
     bench = Bench()
     bench.submit('a', deadline=5)
     bench.submit('a')
-    assert len(bench.scheduler.expired(5)) == 1
+    assert len(bench.scheduler.pop_expired(5)) == 1
     assert len(bench.scheduler.tickets) == 1
 
 
@@ -219,7 +219,7 @@
     bench = Bench(slots=2)
     bench.keep_backlogged('a')
     bench.grant()
-    bench.scheduler.drop_attendant(LIFE, 0)
+    bench.scheduler.drop_router(LIFE, 0)
     assert not bench.scheduler.tickets
     assert bench.scheduler.capacity.free_slots() == 2
 
--- a/tests/fuzz/test_scheduler_fuzz.py
+++ b/tests/fuzz/test_scheduler_fuzz.py
@@ -87,7 +87,7 @@
     @rule(life=LIVES)
     def lose_router(self, life: str) -> None:
         """Lose a router with all it holds."""
-        self.scheduler.drop_attendant(Incarnation(life), self.now)
+        self.scheduler.drop_router(Incarnation(life), self.now)
         self.waiting = {key for key in self.waiting if key[0] != life}
         self.running = {key: one for key, one in self.running.items() if key[0] != life}
 
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -149,7 +149,7 @@
     Mechanism(
         'patience',
         f'{_ROUTER}/scheduling/shard.py',
-        'return [patient, *heads] if patient else heads',
+        'return [starved, *heads] if starved else heads',
         'return heads',
         'test_nobody_waits_for_ever_whatever_its_debt',
     ),
