--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -43,7 +43,7 @@
             self.held.discard(id(slot.ticket))
             self.free.release()
 
-    def note_progress(self, slot: Slot) -> None:
+    def report_progress(self, slot: Slot) -> None:
         """Ignore costs."""
 
 
@@ -70,7 +70,7 @@
         self.local.held.add(id(ticket))
         return Slot(ticket, self.local, UpstreamName(chosen.name))
 
-    def usage_to_tell(self) -> list[UsageSum]:
+    def unreported_usage(self) -> list[UsageSum]:
         """Tell nothing."""
         return []
 
--- a/bench/ticket_cost.py
+++ b/bench/ticket_cost.py
@@ -117,7 +117,7 @@
     )
     slot = await finder.acquire(_POOL, admitted.ticket(0, frozenset()))
     await asyncio.sleep(_RUN_SECONDS)
-    slot.spend(120)
+    slot.record_cost(120)
     slot.release()
 
 
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -26,7 +26,7 @@
 
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
-_RETRY_AFTER = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 _MOST_LOST_GRANTS = 50
 _LOST_GRANT_PAUSE = 0.05
 _JSON = 'application/json'
@@ -217,7 +217,7 @@
         _UNAVAILABLE,
         'no-usable-grant',
         str(error),
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     ) from error
 
 
@@ -271,5 +271,5 @@
         _UNAVAILABLE,
         'upstream-unreached',
         f'upstream {upstream}: {error}',
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     ) from error
--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -37,7 +37,7 @@
 _OK = 200
 _TOO_MANY = 429
 _SERVER_ERRORS = 500
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 Deliver = Callable[[dict[str, Any]], Awaitable[None]]
 """Takes each chunk for the caller; waits while the caller is slow."""
@@ -194,7 +194,7 @@
     attempt = _Attempt(context.fleet.now())
     reader = EventReader()
     # The prompt was computed even if no token ever comes.
-    grant.spend(prompt_cost(len(admitted.body)))
+    grant.record_cost(prompt_cost(len(admitted.body)))
     async for piece in call.chunks():
         for event in _events(reader, piece):
             if event == DONE:
@@ -246,14 +246,14 @@
     usage = chunk.get('usage')
     if usage:
         answer.prompt_tokens = answer.prompt_tokens or usage['prompt_tokens']
-        grant.spend(run_cost(usage['prompt_tokens'], attempt.output_tokens))
+        grant.record_cost(run_cost(usage['prompt_tokens'], attempt.output_tokens))
     text = (choice.get('delta') or {}).get('content')
     if not text:
         return
     answer.text.append(text)
     answer.output_tokens += 1
     attempt.output_tokens += 1
-    grant.spend(run_cost(prompt_cost(len(admitted.body)), attempt.output_tokens))
+    grant.record_cost(run_cost(prompt_cost(len(admitted.body)), attempt.output_tokens))
     _note_timing(context, admitted, answer, attempt, grant)
 
 
@@ -268,11 +268,11 @@
     labels = (admitted.account, admitted.class_name)
     if attempt.last_token_at is not None:
         gap = now - attempt.last_token_at
-        grant.note_gap(gap)
-        context.histograms.record('token_gap_ms', labels, gap * _MILLISECONDS)
+        grant.record_gap(gap)
+        context.histograms.record('token_gap_ms', labels, gap * _MS_PER_SECOND)
     elif answer.output_tokens == 1:
         first = now - admitted.admitted_at
-        context.histograms.record('first_token_ms', labels, first * _MILLISECONDS)
+        context.histograms.record('first_token_ms', labels, first * _MS_PER_SECOND)
     attempt.last_token_at = now
 
 
--- a/packages/router/src/hitchdeck_router/dispatch/ledger.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ledger.py
@@ -25,7 +25,7 @@
 _GONE = 410
 _UNAVAILABLE = 503
 _BAD_REQUEST = 400
-_RETRY_AFTER = 2.0
+_RETRY_AFTER_SECONDS = 2.0
 
 
 class Ran(Enum):
@@ -107,7 +107,7 @@
             _CONFLICT,
             'in-progress',
             'another request with this key was sent on and has not ended',
-            _RETRY_AFTER,
+            _RETRY_AFTER_SECONDS,
         )
 
     def settle(self, admitted: Admitted, key: Key, answer: KeptAnswer) -> None:
@@ -141,7 +141,7 @@
                 _UNAVAILABLE,
                 'ledger-unreachable',
                 str(error),
-                _RETRY_AFTER,
+                _RETRY_AFTER_SECONDS,
             ) from error
 
     async def _settle(self, settle: Settle) -> None:
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -65,7 +65,7 @@
     progress = Progress(repeatable=request.repeatable and admitted.key is None)
 
     async def run_once(grant: Slot, upstream: Upstream) -> None:
-        grant.spend(SERVICE_CALL_COST)
+        grant.record_cost(SERVICE_CALL_COST)
         call = await open_call(
             upstream.address,
             CallRequest(
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -30,7 +30,7 @@
 _BEAT_PERIOD = 1.0
 _FIRST_PAUSE = 0.1
 _LONGEST_PAUSE = 1.0
-_SILENCE = 2.5
+_RECEIVE_TIMEOUT_SECONDS = 2.5
 """Seconds without a frame after which the leader is taken for lost."""
 
 _LINK = 'control'
@@ -96,7 +96,7 @@
             address = self.leader or self._next_address()
             self.leader = Address('')
             try:
-                await self._attend(address)
+                await self._connect(address)
             except LinkError as error:
                 logs.info('control link lost', address=address, reason=str(error))
             if self.connected:
@@ -122,18 +122,18 @@
         self.position += 1
         return self.addresses[self.position % len(self.addresses)]
 
-    async def _attend(self, address: Address) -> None:
+    async def _connect(self, address: Address) -> None:
         self.connected = False
         channel = open_channel(address, self.fleet_token)
         try:
             async with ControlStub(channel).Watch.open() as stream:
-                await self._converse(stream)
+                await self._exchange_frames(stream)
         except TRANSPORT_ERRORS as error:
             raise LinkError(f'{type(error).__name__}: {error}') from error
         finally:
             channel.close()
 
-    async def _converse(self, stream: WatchStream) -> None:
+    async def _exchange_frames(self, stream: WatchStream) -> None:
         # What was told to another leader may have died with it.
         self.usage.tell_all()
         self.told = NOTHING
@@ -141,7 +141,7 @@
         beating = asyncio.create_task(self._beat_for_ever(stream))
         try:
             while True:
-                async with asyncio.timeout(_SILENCE):
+                async with asyncio.timeout(_RECEIVE_TIMEOUT_SECONDS):
                     frame = await stream.recv_message()
                 if frame is None:
                     raise LinkError('the stream ended')
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -164,8 +164,8 @@
         section.control,
         settings.fleet_token,
         UsageExchange(
-            grown=context.finder.usage_to_tell,
-            tell_all=context.finder.forget_told,
+            grown=context.finder.unreported_usage,
+            tell_all=context.finder.reset_reported_usage,
             take=context.host.apply_remote_usage,
         ),
     )
--- a/packages/router/src/hitchdeck_router/scheduling/client.py
+++ b/packages/router/src/hitchdeck_router/scheduling/client.py
@@ -34,18 +34,18 @@
 from hitchdeck_router.fleet.link import Fleet
 from hitchdeck_router.scheduling.holding import PendingTicket, Slot, Unsent
 
-_HEARTBEAT = 1.0
-_LINGER = 0.02
-_LONG_LINGER = 0.2
-_REPORT_PERIOD = 5.0
+_HEARTBEAT_SECONDS = 1.0
+_LINGER_SECONDS = 0.02
+_LONG_LINGER_SECONDS = 0.2
+_REPORT_PERIOD_SECONDS = 5.0
 _REPORT_FACTOR = 1.5
-_SILENCE = 3.0
-_RETRY_PAUSE = 0.05
-_MILLISECONDS = 1000
+_RECEIVE_TIMEOUT_SECONDS = 3.0
+_RECONNECT_DELAY_SECONDS = 0.05
+_MS_PER_SECOND = 1000
 _TOO_MANY_REQUESTS = 429
 _GATEWAY_TIMEOUT = 504
-_RETRY_SOON = 1.0
-_MOST_PLACES = 1000
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
+_MAX_PLACES = 1000
 
 AttendStream = Stream[RouterFrame, SchedulerFrame]
 
@@ -69,8 +69,8 @@
         self.sums: dict[AccountName, int] = {}
         self.places: OrderedDict[str, UpstreamName] = OrderedDict()
         self.unsent = Unsent()
-        self.something_unsent = Signal()
-        self.due_at = 0.0
+        self.send_requested = Signal()
+        self.send_at = 0.0
         self.connected = False
         self.idle = False
         self.busy = False
@@ -82,7 +82,7 @@
         self.waiting[TicketId(pending.ticket.id)] = pending
         self.unsent.tickets.append(pending.ticket)
         urgent = pending.ticket.urgency == Urgency.urgent
-        self._send_within(_LINGER if self.busy and not urgent else 0)
+        self._send_within(_LINGER_SECONDS if self.busy and not urgent else 0)
 
     def withdraw(self, ticket: TicketId) -> None:
         """Take a waiting ticket back."""
@@ -90,20 +90,20 @@
             self.unsent.cancelled.append(ticket)
             self._send_within(0)
 
-    def note_progress(self, slot: Slot) -> None:
+    def report_progress(self, slot: Slot) -> None:
         """Report a run that has cost far more than was told, or long ago.
 
         The scheduler has charged an estimate; telling it of each token would
         cost more than it mends.
         """
-        expected = max(slot.told, slot.ticket.cost_hint)
+        expected = max(slot.reported_cost, slot.ticket.cost_hint)
         now = self.fleet.now()
         if slot.cost < _REPORT_FACTOR * expected:
-            if not slot.told_at or now - slot.told_at < _REPORT_PERIOD:
-                slot.told_at = slot.told_at or now
+            if not slot.reported_at or now - slot.reported_at < _REPORT_PERIOD_SECONDS:
+                slot.reported_at = slot.reported_at or now
                 return
         self.unsent.reports.append(self._report(slot))
-        self._send_within(_LONG_LINGER)
+        self._send_within(_LONG_LINGER_SECONDS)
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
         """Give a slot back."""
@@ -113,40 +113,40 @@
         report.released = True
         report.failed = failed
         self.unsent.reports.append(report)
-        self._send_within(0 if self.busy else _LONG_LINGER)
+        self._send_within(0 if self.busy else _LONG_LINGER_SECONDS)
 
     async def run(self) -> None:
         """Attend whichever router schedules the shard; for ever."""
         while True:
             entry = self.fleet.directory.shards.get(self.shard)
             if entry is None:
-                await self.fleet.directory.changed.wait(_HEARTBEAT)
+                await self.fleet.directory.changed.wait(_HEARTBEAT_SECONDS)
                 continue
             try:
-                await self._attend(entry)
+                await self._connect(entry)
             except LinkError as error:
                 logs.info('scheduler lost', shard=self.shard, reason=str(error))
             self.connected = False
             self.idle = False
-            await self.fleet.directory.changed.wait(_RETRY_PAUSE)
+            await self.fleet.directory.changed.wait(_RECONNECT_DELAY_SECONDS)
 
-    async def _attend(self, entry: ShardEntry) -> None:
+    async def _connect(self, entry: ShardEntry) -> None:
         channel = open_channel(Address(entry.wire_address), self.fleet_token)
         try:
             async with SchedulerStub(channel).Attend.open() as stream:
-                await self._converse(stream, entry)
+                await self._exchange_frames(stream, entry)
         except TRANSPORT_ERRORS as error:
             raise LinkError(f'{type(error).__name__}: {error}') from error
         finally:
             channel.close()
 
-    async def _converse(self, stream: AttendStream, entry: ShardEntry) -> None:
-        await self._send_frame(stream, self._opening(entry))
+    async def _exchange_frames(self, stream: AttendStream, entry: ShardEntry) -> None:
+        await self._send_frame(stream, self._opening_frame(entry))
         self.connected = True
         sending = asyncio.create_task(self._send(stream, entry))
         try:
-            while self._still_holds(entry) and not sending.done():
-                async with asyncio.timeout(_SILENCE):
+            while self._is_current(entry) and not sending.done():
+                async with asyncio.timeout(_RECEIVE_TIMEOUT_SECONDS):
                     frame = await stream.recv_message()
                 if frame is None or frame.not_owner:
                     raise LinkError('it schedules the shard no more')
@@ -155,18 +155,18 @@
         finally:
             sending.cancel()
 
-    def _still_holds(self, entry: ShardEntry) -> bool:
+    def _is_current(self, entry: ShardEntry) -> bool:
         present = self.fleet.directory.shards.get(self.shard)
         return present is not None and present.epoch == entry.epoch
 
-    def _opening(self, entry: ShardEntry) -> RouterFrame:
+    def _opening_frame(self, entry: ShardEntry) -> RouterFrame:
         """Return the first frame: all that is held, waits, and was spent."""
         self.unsent = Unsent()
         now = self.fleet.now()
         for pending in self.waiting.values():
             pending.ticket.waited_ms = int((now - pending.since) * 1000)
         for slot in self.held.values():
-            self._tell(slot)
+            self._mark_reported(slot)
         return RouterFrame(
             incarnation=self.incarnation,
             shard=self.shard,
@@ -176,7 +176,7 @@
                 HeldGrant(
                     ticket=slot.ticket,
                     upstream=slot.upstream,
-                    charged=slot.told,
+                    charged=slot.reported_cost,
                 )
                 for slot in self.held.values()
             ],
@@ -192,13 +192,13 @@
 
     async def _send(self, stream: AttendStream, entry: ShardEntry) -> None:
         """Send whatever there is when it is due; a heartbeat otherwise."""
-        self.due_at = self.fleet.now() + _HEARTBEAT
-        while self._still_holds(entry):
-            left = self.due_at - self.fleet.now()
+        self.send_at = self.fleet.now() + _HEARTBEAT_SECONDS
+        while self._is_current(entry):
+            left = self.send_at - self.fleet.now()
             if left > 0:
-                await self.something_unsent.wait(left)
+                await self.send_requested.wait(left)
                 continue
-            self.due_at = self.fleet.now() + _HEARTBEAT
+            self.send_at = self.fleet.now() + _HEARTBEAT_SECONDS
             unsent, self.unsent = self.unsent, Unsent()
             frame = RouterFrame(
                 tickets=unsent.tickets,
@@ -214,30 +214,30 @@
         a slot, a free one may be given back late; where many wait, another
         ticket at the end of the queue may come late.
         """
-        due_at = self.fleet.now() + seconds
-        if due_at < self.due_at:
-            self.due_at = due_at
-            self.something_unsent.notify()
+        send_at = self.fleet.now() + seconds
+        if send_at < self.send_at:
+            self.send_at = send_at
+            self.send_requested.notify()
 
     def _report(self, slot: Slot) -> CostReport:
-        self._tell(slot)
+        self._mark_reported(slot)
         return CostReport(
             id=slot.ticket.id,
-            cost=slot.told,
-            token_gap_ms=int(slot.take_mean_gap() * _MILLISECONDS),
+            cost=slot.reported_cost,
+            token_gap_ms=int(slot.pop_mean_gap() * _MS_PER_SECOND),
         )
 
-    def _tell(self, slot: Slot) -> None:
+    def _mark_reported(self, slot: Slot) -> None:
         """Count as told what a slot has cost by now.
 
         The sums grow by what is told and no sooner, so that they and the
         reports always add up to the same.
         """
-        grown = round(slot.cost) - slot.told
-        slot.told += grown
-        slot.told_at = self.fleet.now()
+        increase = round(slot.cost) - slot.reported_cost
+        slot.reported_cost += increase
+        slot.reported_at = self.fleet.now()
         account = AccountName(slot.ticket.account)
-        self.sums[account] = self.sums.get(account, 0) + grown
+        self.sums[account] = self.sums.get(account, 0) + increase
 
     async def _send_frame(self, stream: AttendStream, frame: RouterFrame) -> None:
         self.fleet.traffic.count('ticket', frame)
@@ -246,15 +246,15 @@
     def _handle_frame(self, frame: SchedulerFrame) -> None:
         self.fleet.traffic.count('ticket', frame)
         for grant in frame.grants:
-            self._take_grant(grant)
+            self._handle_grant(grant)
         for refusal in frame.refusals:
-            self._take_refusal(refusal)
+            self._handle_refusal(refusal)
         if frame.HasField('free_slots'):
             self.idle = frame.free_slots > 0 and not frame.waiting
             self.busy = frame.waiting > 0
             self.serves = frame.serves
 
-    def _take_grant(self, grant: Grant) -> None:
+    def _handle_grant(self, grant: Grant) -> None:
         ticket = TicketId(grant.id)
         pending = self.waiting.pop(ticket, None)
         if pending is None or pending.granted.done():
@@ -266,18 +266,18 @@
         upstream = UpstreamName(grant.upstream)
         slot = Slot(pending.ticket, self, upstream, grant.moved_from)
         self.held[ticket] = slot
-        self._note_place(pending.ticket.session, upstream)
+        self._record_place(pending.ticket.session, upstream)
         pending.granted.set_result(slot)
 
-    def _note_place(self, session: str, upstream: UpstreamName) -> None:
+    def _record_place(self, session: str, upstream: UpstreamName) -> None:
         if not session:
             return
         self.places[session] = upstream
         self.places.move_to_end(session)
-        if len(self.places) > _MOST_PLACES:
+        if len(self.places) > _MAX_PLACES:
             self.places.popitem(last=False)
 
-    def _take_refusal(self, refusal: Refusal) -> None:
+    def _handle_refusal(self, refusal: Refusal) -> None:
         pending = self.waiting.pop(TicketId(refusal.id), None)
         if pending is None or pending.granted.done():
             return
@@ -288,6 +288,6 @@
                 status,
                 refusal.reason,
                 f'no slot: {refusal.reason}',
-                retry_after or _RETRY_SOON,
+                retry_after or _DEFAULT_RETRY_AFTER_SECONDS,
             ),
         )
--- a/packages/router/src/hitchdeck_router/scheduling/holding.py
+++ b/packages/router/src/hitchdeck_router/scheduling/holding.py
@@ -31,16 +31,16 @@
     """A slot that this router holds.
 
     ``cost`` is what its run has cost, of which the scheduler has been told
-    ``told`` at ``told_at``.
+    ``reported_cost`` at ``reported_at``.
     """
 
     ticket: Ticket
-    client: SlotKeeper
+    client: SlotOwner
     upstream: UpstreamName
     moved_from: str = ''
     cost: float = 0.0
-    told: int = 0
-    told_at: float = 0.0
+    reported_cost: int = 0
+    reported_at: float = 0.0
     gap_total: float = 0.0
     gap_count: int = 0
 
@@ -48,17 +48,17 @@
         """Give the slot back; more than once does no harm."""
         self.client.release(self, failed=failed)
 
-    def spend(self, cost: float) -> None:
+    def record_cost(self, cost: float) -> None:
         """Note what the run has cost so far, in all."""
         self.cost = max(self.cost, cost)
-        self.client.note_progress(self)
+        self.client.report_progress(self)
 
-    def note_gap(self, seconds: float) -> None:
+    def record_gap(self, seconds: float) -> None:
         """Note a time between tokens."""
         self.gap_total += seconds
         self.gap_count += 1
 
-    def take_mean_gap(self) -> float:
+    def pop_mean_gap(self) -> float:
         """Return the mean time between tokens since this was last asked.
 
         The mean, not the worst: one late token on a busy box would take
@@ -70,13 +70,13 @@
         return mean
 
 
-class SlotKeeper(Protocol):
+class SlotOwner(Protocol):
     """Whoever a slot goes back to."""
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
         """Take a slot back."""
 
-    def note_progress(self, slot: Slot) -> None:
+    def report_progress(self, slot: Slot) -> None:
         """Hear that a slot's run has cost more."""
 
 
--- a/packages/router/src/hitchdeck_router/scheduling/service.py
+++ b/packages/router/src/hitchdeck_router/scheduling/service.py
@@ -31,7 +31,7 @@
 from hitchdeck_router.scheduling.shard import HeldSlot
 
 _LINK = 'scheduler'
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 AttendStream = Stream[RouterFrame, SchedulerFrame]
 
@@ -129,9 +129,9 @@
         slot = hosted.scheduler.held.get(key)
         if slot is None:
             return
-        gap = report.token_gap_ms / _MILLISECONDS
-        grown = hosted.scheduler.report(key, report.cost, gap, now)
-        peer.sums[slot.account] = peer.sums.get(slot.account, 0) + grown
+        gap = report.token_gap_ms / _MS_PER_SECOND
+        increase = hosted.scheduler.report(key, report.cost, gap, now)
+        peer.sums[slot.account] = peer.sums.get(slot.account, 0) + increase
         if report.released:
             hosted.scheduler.release(key, failed=report.failed, now=now)
 
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -147,13 +147,13 @@
         load = self.capacity.loads.get(slot.upstream)
         if load is not None:
             load.observe_gap(gap, now)
-        grown = max(0.0, cost - slot.spent)
-        used = min(slot.pending, grown)
+        increase = max(0.0, cost - slot.spent)
+        used = min(slot.pending, increase)
         self.fair.settle_estimate(slot.account, used)
-        self.fair.add_service(slot.account, grown)
+        self.fair.add_service(slot.account, increase)
         slot.pending -= used
-        slot.spent += grown
-        return grown
+        slot.spent += increase
+        return increase
 
     def release(self, key: TicketKey, *, failed: bool, now: float) -> None:
         """Free a slot."""
--- a/packages/router/src/hitchdeck_router/scheduling/slots.py
+++ b/packages/router/src/hitchdeck_router/scheduling/slots.py
@@ -19,18 +19,18 @@
 from hitchdeck_router.scheduling.client import ShardClient
 from hitchdeck_router.scheduling.holding import PendingTicket, Slot
 
-_ATTENDED_SHARDS = 4
+_SHARDS_PER_ROUTER = 4
 """How many shards of a pool one router deals with: enough choice to find a
 free slot, few enough that connections grow with routers, not with their
 product with shards."""
 
-_MOVE_PERIOD = 0.1
+_REBALANCE_PERIOD_SECONDS = 0.1
 _IDLE_PERIOD_SECONDS = 1.0
 _UNAVAILABLE = 503
-_NO_SCHEDULER_PATIENCE = 10.0
+_NO_SCHEDULER_TIMEOUT_SECONDS = 10.0
 """Seconds; a frozen scheduler is replaced when its lease of 3 s has run out,
 so that a shorter patience would refuse what is about to be served."""
-_RETRY_AFTER = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class SlotFinder:
@@ -50,7 +50,7 @@
         self.fleet_token = fleet_token
         self.supervisor = supervisor
         self.clients: dict[ShardId, ShardClient] = {}
-        self.told: dict[tuple[ShardId, str], int] = {}
+        self.reported_sums: dict[tuple[ShardId, str], int] = {}
         self.last_ticket = 0
 
     async def acquire(self, pool: PoolName, ticket: Ticket) -> Slot:
@@ -75,31 +75,33 @@
         try:
             return await pending.granted
         except BaseException:
-            self._give_up(pending)
+            self._cancel(pending)
             raise
 
     async def rebalance(self) -> None:
         """Move tickets that wait to shards that are idle; for ever."""
         while True:
             several = len(self.clients) > 1
-            await asyncio.sleep(_MOVE_PERIOD if several else _IDLE_PERIOD_SECONDS)
+            await asyncio.sleep(
+                _REBALANCE_PERIOD_SECONDS if several else _IDLE_PERIOD_SECONDS
+            )
             for client in list(self.clients.values()):
                 if client.waiting:
-                    self._relieve(client)
+                    self._move_waiting(client)
 
-    def usage_to_tell(self) -> list[UsageSum]:
+    def unreported_usage(self) -> list[UsageSum]:
         """Return the sums that have grown since they were last told."""
-        grown = []
+        unreported = []
         for shard, client in self.clients.items():
             for account, cost in client.sums.items():
-                if self.told.get((shard, account), 0) < cost:
-                    self.told[shard, account] = cost
-                    grown.append(UsageSum(shard=shard, account=account, cost=cost))
-        return grown
+                if self.reported_sums.get((shard, account), 0) < cost:
+                    self.reported_sums[shard, account] = cost
+                    unreported.append(UsageSum(shard=shard, account=account, cost=cost))
+        return unreported
 
-    def forget_told(self) -> None:
+    def reset_reported_usage(self) -> None:
         """Tell everything again: a new leader knows none of it."""
-        self.told.clear()
+        self.reported_sums.clear()
 
     def _best_client(self, pool: PoolName, ticket: Ticket) -> ShardClient:
         clients = list(self._clients_of(pool))
@@ -118,7 +120,7 @@
             ),
         )
 
-    def _give_up(self, pending: PendingTicket) -> None:
+    def _cancel(self, pending: PendingTicket) -> None:
         """Withdraw a ticket; its grant may have arrived at this moment."""
         assert pending.client is not None
         number = TicketId(pending.ticket.id)
@@ -127,7 +129,7 @@
         if slot is not None:
             slot.release()
 
-    def _relieve(self, client: ShardClient) -> None:
+    def _move_waiting(self, client: ShardClient) -> None:
         """Move a waiting ticket away from a busy or lost shard, if possible.
 
         One at a time: that a shard is idle is old news already.
@@ -138,7 +140,7 @@
         if client.connected and client.serves and not client.busy:
             return
         for other in self._clients_of(pool):
-            if other is not client and client.waiting and _may_take(client, other):
+            if other is not client and client.waiting and _is_better(client, other):
                 pending = next(iter(client.waiting.values()))
                 client.withdraw(TicketId(pending.ticket.id))
                 other.idle = False
@@ -148,7 +150,7 @@
         definition = self.fleet.view.pools.get(pool)
         count = definition.shards if definition else 1
         shards = [shard_id(pool, number) for number in range(count)]
-        for shard in ranked(self.box, shards)[:_ATTENDED_SHARDS]:
+        for shard in ranked(self.box, shards)[:_SHARDS_PER_ROUTER]:
             yield self._client(ShardId(shard))
 
     def _client(self, shard: ShardId) -> ShardClient:
@@ -168,14 +170,14 @@
             return
         now = self.fleet.now()
         for number, pending in list(client.waiting.items()):
-            if now - pending.since < _NO_SCHEDULER_PATIENCE:
+            if now - pending.since < _NO_SCHEDULER_TIMEOUT_SECONDS:
                 continue
             client.withdraw(number)
             if not pending.granted.done():
                 pending.granted.set_exception(_no_scheduler(pool))
 
 
-def _may_take(client: ShardClient, other: ShardClient) -> bool:
+def _is_better(client: ShardClient, other: ShardClient) -> bool:
     """Tell whether a ticket is better off at another shard.
 
     A shard without upstreams (all are leaving, or there are fewer upstreams
@@ -191,5 +193,5 @@
         _UNAVAILABLE,
         'no-scheduler',
         f'no scheduler of pool {pool} can be reached',
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     )
--- a/packages/router/src/hitchdeck_router/serving/admission.py
+++ b/packages/router/src/hitchdeck_router/serving/admission.py
@@ -28,7 +28,7 @@
 _UUID_TIME_VERSION = 7
 _UUID_TIME_SHIFT = 80
 _STAMPED_KEY = re.compile(r'(\d{9,11})-[\x21-\x7e]+')
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 
 def check_chat_body(body: bytes) -> dict[str, Any]:
@@ -162,7 +162,7 @@
         return None
     if uuid.version != _UUID_TIME_VERSION:
         return None
-    return (uuid.int >> _UUID_TIME_SHIFT) / _MILLISECONDS
+    return (uuid.int >> _UUID_TIME_SHIFT) / _MS_PER_SECOND
 
 
 def _header_labels(text: str) -> dict[str, str]:
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -31,7 +31,7 @@
 """Bytes that are read of a body whose refusal was sent, so that its caller gets to
 the answer: a close with unread bytes resets the connection, and a caller that still
 sends then reads nothing."""
-_RETRY_AFTER = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 @stream_request_body
@@ -138,7 +138,7 @@
                 _UNAVAILABLE,
                 'no-configuration-lease',
                 'this router is cut off from the control group',
-                _RETRY_AFTER,
+                _RETRY_AFTER_SECONDS,
             )
 
     def refuse(self, error: RouterError) -> None:
--- a/tests/cover/test_moving.py
+++ b/tests/cover/test_moving.py
@@ -69,7 +69,7 @@
     pending = await waiting_at(finder, here)
     here.serves = here_serves
     there.idle, there.serves = there_idle, there_serves
-    finder._relieve(here)
+    finder._move_waiting(here)
     assert pending.client is (there if moves else here)
     assert len(here.waiting) + len(there.waiting) == 1
     assert len(here.unsent.cancelled) == int(moves)
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -271,7 +271,7 @@
     def release(self, slot: Slot, *, failed: bool = False) -> None:
         """Do nothing."""
 
-    def note_progress(self, slot: Slot) -> None:
+    def report_progress(self, slot: Slot) -> None:
         """Do nothing."""
 
 
@@ -279,8 +279,8 @@
     """Worst gaps were reported, and a busy box lost a tenth of its slots."""
     slot = Slot(Ticket(), Keeper(), UpstreamName('u'))
     for gap in (0.05, 0.05, 0.05, 0.05, 0.12):
-        slot.note_gap(gap)
+        slot.record_gap(gap)
     load = UpstreamLoad(8, 8.0)
-    load.observe_gap(slot.take_mean_gap(), now=5)
+    load.observe_gap(slot.pop_mean_gap(), now=5)
     assert load.limit == 8
-    assert slot.take_mean_gap() == 0
+    assert slot.pop_mean_gap() == 0
