--- a/bench/ticket_cost.py
+++ b/bench/ticket_cost.py
@@ -33,7 +33,7 @@
     ResourceChange,
     ShardEntry,
 )
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.link import Fleet
@@ -105,7 +105,7 @@
 
 async def one_request(finder: SlotFinder, account: str) -> None:
     """Take a slot, run a while, give it back."""
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         request=RequestId('r'),
         account=AccountName(account),
         pool=_POOL,
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -9,12 +9,12 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.caches import move_cache
-from hitchdeck_router.dispatch.ends import check_not_quarantined, doubt
-from hitchdeck_router.dispatch.ledger import KeptAnswer, Ran
-from hitchdeck_router.dispatch.pauses import check_not_paused, check_wants_requests
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.ends import check_for_crash, check_not_quarantined
+from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
+from hitchdeck_router.dispatch.pauses import check_accepting, check_pool_accepting
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import (
-    CallerLeftError,
+    CallerDisconnectedError,
     GrantLostError,
     NotRunError,
     OutcomeUnknownError,
@@ -27,8 +27,8 @@
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _RETRY_AFTER_SECONDS = 1.0
-_MOST_LOST_GRANTS = 50
-_LOST_GRANT_PAUSE = 0.05
+_MAX_LOST_GRANTS = 50
+_LOST_GRANT_DELAY_SECONDS = 0.05
 _JSON = 'application/json'
 
 RunOnce = Callable[[Slot, Upstream], Awaitable[None]]
@@ -52,14 +52,14 @@
 class ReplayError(Exception):
     """Raised when the ledger has an answer, in place of a run."""
 
-    def __init__(self, answer: KeptAnswer) -> None:
+    def __init__(self, response: StoredResponse) -> None:
         super().__init__('answered before')
-        self.answer = answer
+        self.response = response
 
 
 async def run_attempts(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     progress: Progress,
     run_once: RunOnce,
 ) -> None:
@@ -84,33 +84,33 @@
         failed = False
         try:
             await _run_granted(context, admitted, progress, grant, run_once)
-            context.fleet.quarantine.note_answer(admitted.content)
+            context.fleet.quarantine.note_answer(admitted.fingerprint)
             return
         except GrantLostError as error:
-            _note_lost_grant(progress, error)
-            await asyncio.sleep(_LOST_GRANT_PAUSE)
+            _record_lost_grant(progress, error)
+            await asyncio.sleep(_LOST_GRANT_DELAY_SECONDS)
         except UpstreamUnreachedError as error:
             failed = True
-            _note_failure(context, admitted, progress, upstream, error)
+            _record_failure(context, admitted, progress, upstream, error)
         except UpstreamBrokenError as error:
             failed = True
             progress.sent = True
-            _doubt(context, admitted, upstream)
-            _note_failure(context, admitted, progress, upstream, error)
+            _check_for_crash(context, admitted, upstream)
+            _record_failure(context, admitted, progress, upstream, error)
         finally:
             grant.release(failed=failed)
 
 
 async def _acquire(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     progress: Progress,
 ) -> Slot:
     now = context.fleet.now()
     ticket = admitted.ticket(now, context.backpressure.closed())
     try:
         check_not_quarantined(context, admitted)
-        check_not_paused(context, admitted.pool)
+        check_pool_accepting(context, admitted.pool)
         grant = await context.finder.acquire(admitted.pool, ticket)
     except NotRunError as error:
         if progress.sent:
@@ -124,7 +124,7 @@
     waited = context.fleet.now() - now
     context.histograms.record(
         'wait_ms',
-        (admitted.account, admitted.class_name),
+        (admitted.account, admitted.urgency_name),
         waited * 1000,
     )
     return grant
@@ -132,7 +132,7 @@
 
 async def _run_granted(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     progress: Progress,
     grant: Slot,
     run_once: RunOnce,
@@ -144,44 +144,44 @@
     claimed = await _claim(context, admitted, grant.upstream)
     upstream = _usable_after_claim(context, admitted, grant, claimed)
     admitted.upstream = upstream.name
-    if not claimed and admitted.has_left():
+    if not claimed and admitted.has_disconnected():
         # The loop, which would tell, does not turn between grant and call.
-        raise CallerLeftError(admitted.request)
+        raise CallerDisconnectedError(admitted.request)
     try:
         # No await between the check of lease and configuration and the call.
         await run_once(grant, upstream)
     except UpstreamUnreachedError:
         if claimed:
-            _settle(context, admitted, KeptAnswer(Ran.not_run))
+            _settle(context, admitted, StoredResponse(RunStatus.not_run))
         raise
     except UpstreamRefusedError as error:
         # A refusal is the answer: whoever asks again gets it again.
         if claimed:
-            answer = KeptAnswer(Ran.ran, error.status, _JSON, error.body)
-            _settle(context, admitted, answer)
+            response = StoredResponse(RunStatus.ran, error.status, _JSON, error.body)
+            _settle(context, admitted, response)
         raise
     except BaseException:
         if claimed:
-            _settle(context, admitted, KeptAnswer(Ran.unknown))
+            _settle(context, admitted, StoredResponse(RunStatus.unknown))
         raise
 
 
 async def _claim(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     upstream: UpstreamName,
 ) -> bool:
     if admitted.key is None:
         return False
-    kept = await context.ledger.claim(admitted, admitted.key, upstream)
-    if kept is not None:
-        raise ReplayError(kept)
+    stored = await context.ledger.claim(admitted, admitted.key, upstream)
+    if stored is not None:
+        raise ReplayError(stored)
     return True
 
 
 def _usable_after_claim(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     grant: Slot,
     claimed: bool,
 ) -> Upstream:
@@ -189,13 +189,13 @@
         return _check_usable(context, admitted, grant.upstream)
     except GrantLostError:
         if claimed:
-            _settle(context, admitted, KeptAnswer(Ran.not_run))
+            _settle(context, admitted, StoredResponse(RunStatus.not_run))
         raise
 
 
 def _check_usable(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     name: UpstreamName,
 ) -> Upstream:
     """Return a granted upstream if new work may go there at this moment."""
@@ -204,13 +204,13 @@
         raise GrantLostError('the configuration lease has run out')
     if not view.may_dispatch(admitted.pool, name):
         raise GrantLostError(f'{name} is leaving or gone')
-    check_wants_requests(context, name)
+    check_accepting(context, name)
     return view.upstreams[name]
 
 
-def _note_lost_grant(progress: Progress, error: GrantLostError) -> None:
+def _record_lost_grant(progress: Progress, error: GrantLostError) -> None:
     progress.lost_grants += 1
-    if progress.lost_grants <= _MOST_LOST_GRANTS:
+    if progress.lost_grants <= _MAX_LOST_GRANTS:
         return
     kind = OutcomeUnknownError if progress.sent else NotRunError
     raise kind(
@@ -221,28 +221,28 @@
     ) from error
 
 
-def _doubt(
+def _check_for_crash(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     name: UpstreamName,
 ) -> None:
     upstream = context.fleet.view.upstreams.get(name)
     if upstream is not None:
-        doubt(context, admitted, upstream)
+        check_for_crash(context, admitted, upstream)
 
 
 def _settle(
     context: RouterContext,
-    admitted: Admitted,
-    answer: KeptAnswer,
+    admitted: AdmittedRequest,
+    response: StoredResponse,
 ) -> None:
     assert admitted.key is not None
-    context.ledger.settle(admitted, admitted.key, answer)
+    context.ledger.settle(admitted, admitted.key, response)
 
 
-def _note_failure(
+def _record_failure(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     progress: Progress,
     upstream: UpstreamName,
     error: Exception,
@@ -257,9 +257,9 @@
         upstream=upstream,
         reason=str(error),
     )
-    out_of_tries = progress.failures >= context.settings.attempts
+    attempts_exhausted = progress.failures >= context.settings.attempts
     may_repeat = progress.repeatable or not progress.sent
-    if may_repeat and not out_of_tries and context.budget.try_spend():
+    if may_repeat and not attempts_exhausted and context.budget.try_spend():
         return
     if progress.sent:
         raise OutcomeUnknownError(
--- a/packages/router/src/hitchdeck_router/dispatch/budget.py
+++ b/packages/router/src/hitchdeck_router/dispatch/budget.py
@@ -1,7 +1,7 @@
 """A budget for retries, so that an overloaded fleet is not asked twice."""
 
-_SHARE = 0.1
-_BURST = 10.0
+_TOKENS_PER_REQUEST = 0.1
+_MAX_TOKENS = 10.0
 
 
 class RetryBudget:
@@ -12,11 +12,11 @@
     """
 
     def __init__(self) -> None:
-        self.tokens = _BURST
+        self.tokens = _MAX_TOKENS
 
     def earn(self) -> None:
         """Count a request."""
-        self.tokens = min(_BURST, self.tokens + _SHARE)
+        self.tokens = min(_MAX_TOKENS, self.tokens + _TOKENS_PER_REQUEST)
 
     def try_spend(self) -> bool:
         """Take leave for one retry, or say that there is none left."""
--- a/packages/router/src/hitchdeck_router/dispatch/caches.py
+++ b/packages/router/src/hitchdeck_router/dispatch/caches.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.calls import CallRequest, open_call
-from hitchdeck_router.dispatch.pauses import check_wants_requests, heed
+from hitchdeck_router.dispatch.pauses import apply_backpressure, check_accepting
 from hitchdeck_router.errors import (
     GrantLostError,
     UpstreamError,
@@ -20,7 +20,7 @@
 )
 
 _PATH = '/admin/cache/'
-_SILENCE = 2.0
+_READ_TIMEOUT_SECONDS = 2.0
 _OK = 200
 
 
@@ -43,7 +43,7 @@
     try:
         # Each session's move asked engines again that had asked for a pause.
         for end in (source, UpstreamName(target.name)):
-            check_wants_requests(context, end)
+            check_accepting(context, end)
         content = await _call(context, origin, session, 'GET', b'')
         if not json.loads(content).get('cache'):
             return False
@@ -67,13 +67,13 @@
         path=f'{_PATH}{quote(session)}',
         headers={'Content-Type': 'application/json'},
         body=body,
-        silence=_SILENCE,
+        read_timeout=_READ_TIMEOUT_SECONDS,
     )
     call = await open_call(upstream.address, request)
     try:
         head = await call.head()
-        heed(context, upstream, head)
-        content = await call.whole_body()
+        apply_backpressure(context, upstream, head)
+        content = await call.read_body()
     finally:
         call.close()
     if head.status != _OK:
--- a/packages/router/src/hitchdeck_router/dispatch/calls.py
+++ b/packages/router/src/hitchdeck_router/dispatch/calls.py
@@ -26,23 +26,23 @@
 from hitchdeck_router.errors import UpstreamBrokenError, UpstreamUnreachedError
 
 CONNECT_SECONDS = 2.0
-_LARGEST_ANSWER = 1024 * 1024 * 1024
-_CHUNK = 1024 * 10
+_MAX_RESPONSE_BYTES = 1024 * 1024 * 1024
+_CHUNK_BYTES = 1024 * 10
 
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """What to send; ``silence`` is the longest wait for a chunk, in seconds."""
+    """What to send; ``read_timeout`` is the longest wait for a chunk, in seconds."""
 
     method: str
     path: str
     headers: dict[str, str]
     body: bytes = b''
-    silence: float = 60.0
+    read_timeout: float = 60.0
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseHead:
     """The status and headers of an answer."""
 
     status: int
@@ -50,23 +50,23 @@
 
 
 @dataclass(slots=True)
-class _End:
-    """The last thing in the queue; ``whole`` if the framing was complete."""
+class _ResponseEnd:
+    """The last thing in the queue; ``complete`` if the framing was complete."""
 
-    whole: bool
+    complete: bool
 
 
 @dataclass
 class _Receiver(HTTPMessageDelegate):
     """Puts what the connection reads into a queue of one."""
 
-    queue: asyncio.Queue[Head | bytes | _End] = field(
+    queue: asyncio.Queue[ResponseHead | bytes | _ResponseEnd] = field(
         default_factory=lambda: asyncio.Queue(1),
     )
     ended: bool = False
     abandoned: bool = False
 
-    async def put(self, received: Head | bytes | _End) -> None:
+    async def put(self, received: ResponseHead | bytes | _ResponseEnd) -> None:
         """Hand something over, unless nobody will take it any more."""
         if not self.abandoned:
             await self.queue.put(received)
@@ -88,7 +88,7 @@
     ) -> None:
         """Pass the head on."""
         assert isinstance(start_line, ResponseStartLine)
-        await self.put(Head(start_line.code, headers))
+        await self.put(ResponseHead(start_line.code, headers))
 
     async def data_received(self, chunk: bytes) -> None:
         """Pass a chunk on, and hold the connection until it is taken."""
@@ -105,9 +105,9 @@
 class UpstreamCall:
     """An open call; close it in the end, which cancels what still runs."""
 
-    def __init__(self, stream: IOStream, silence: float) -> None:
+    def __init__(self, stream: IOStream, read_timeout: float) -> None:
         self.stream = stream
-        self.silence = silence
+        self.read_timeout = read_timeout
         self.receiver = _Receiver()
         self.reading: asyncio.Task[None] | None = None
 
@@ -118,8 +118,8 @@
             is_client=True,
             params=HTTP1ConnectionParameters(
                 no_keep_alive=True,
-                chunk_size=_CHUNK,
-                max_body_size=_LARGEST_ANSWER,
+                chunk_size=_CHUNK_BYTES,
+                max_body_size=_MAX_RESPONSE_BYTES,
             ),
         )
         headers = HTTPHeaders(request.headers)
@@ -132,10 +132,10 @@
         connection.finish()
         self.reading = asyncio.create_task(self._read(connection))
 
-    async def head(self) -> Head:
+    async def head(self) -> ResponseHead:
         """Wait for the status and headers."""
         received = await self._next()
-        if not isinstance(received, Head):
+        if not isinstance(received, ResponseHead):
             raise UpstreamBrokenError('connection closed before an answer')
         return received
 
@@ -146,11 +146,11 @@
             if isinstance(received, bytes):
                 yield received
                 continue
-            if isinstance(received, _End) and received.whole:
+            if isinstance(received, _ResponseEnd) and received.complete:
                 return
             raise UpstreamBrokenError('connection closed within the answer')
 
-    async def whole_body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the whole body."""
         return b''.join([chunk async for chunk in self.chunks()])
 
@@ -163,16 +163,16 @@
         try:
             await connection.read_response(self.receiver)
         except StreamClosedError:
-            await self.receiver.put(_End(whole=False))
+            await self.receiver.put(_ResponseEnd(complete=False))
             return
-        await self.receiver.put(_End(whole=self.receiver.ended))
+        await self.receiver.put(_ResponseEnd(complete=self.receiver.ended))
 
-    async def _next(self) -> Head | bytes | _End:
+    async def _next(self) -> ResponseHead | bytes | _ResponseEnd:
         try:
-            async with asyncio.timeout(self.silence):
+            async with asyncio.timeout(self.read_timeout):
                 return await self.receiver.queue.get()
         except TimeoutError as error:
-            raise UpstreamBrokenError(f'silent for {self.silence} s') from error
+            raise UpstreamBrokenError(f'silent for {self.read_timeout} s') from error
 
 
 async def open_call(address: Address, request: CallRequest) -> UpstreamCall:
@@ -187,7 +187,7 @@
     """
     stream = await _connect(address)
     stream.set_nodelay(True)
-    call = UpstreamCall(stream, request.silence)
+    call = UpstreamCall(stream, request.read_timeout)
     try:
         await call.start(address, request)
     except StreamClosedError as error:
@@ -196,7 +196,7 @@
     return call
 
 
-async def takes_connections(address: Address) -> bool:
+async def accepts_connections(address: Address) -> bool:
     """Tell whether an upstream accepts connections and goes on running."""
     opened: list[IOStream] = []
 
--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -16,12 +16,12 @@
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
 from hitchdeck_router.dispatch.calls import (
     CallRequest,
-    Head,
+    ResponseHead,
     UpstreamCall,
     open_call,
 )
-from hitchdeck_router.dispatch.pauses import heed
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.pauses import apply_backpressure
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.dispatch.sse import DONE, EventReader, EventTooLongError
 from hitchdeck_router.errors import (
     UpstreamBrokenError,
@@ -35,8 +35,8 @@
 
 _PATH = '/v1/chat/completions'
 _OK = 200
-_TOO_MANY = 429
-_SERVER_ERRORS = 500
+_TOO_MANY_REQUESTS = 429
+_FIRST_SERVER_ERROR = 500
 _MS_PER_SECOND = 1000
 
 Deliver = Callable[[dict[str, Any]], Awaitable[None]]
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class ChatAnswer:
+class ChatResponse:
     """What has been generated so far, over all attempts."""
 
     request_id: str
@@ -63,7 +63,7 @@
             'total_tokens': self.prompt_tokens + self.output_tokens,
         }
 
-    def whole(self) -> dict[str, Any]:
+    def completion(self) -> dict[str, Any]:
         """Return the answer for a caller that wants no stream."""
         message = {'role': 'assistant', 'content': ''.join(self.text)}
         return {
@@ -100,10 +100,10 @@
 
 async def run_chat(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     body: dict[str, Any],
     deliver: Deliver,
-) -> ChatAnswer:
+) -> ChatResponse:
     """Run a chat request to its end.
 
     Raises
@@ -113,29 +113,29 @@
     UpstreamRefusedError
         The engine's own refusal, for the caller to see.
     """
-    answer = ChatAnswer(admitted.request, str(body['model']))
+    response = ChatResponse(admitted.request, str(body['model']))
     progress = Progress(repeatable=admitted.key is None)
 
     async def run_once(grant: Slot, upstream: Upstream) -> None:
-        request = _engine_request(admitted, body, answer)
+        request = _engine_request(admitted, body, response)
         call = await open_call(upstream.address, request)
         try:
             head = await call.head()
-            check_own(head, admitted)
-            heed(context, upstream, head)
-            await _check_taken(head, call)
-            await _read_stream(context, admitted, answer, grant, call, deliver)
+            check_request_id(head, admitted)
+            apply_backpressure(context, upstream, head)
+            await _check_status(head, call)
+            await _read_stream(context, admitted, response, grant, call, deliver)
         finally:
             call.close()
 
     await run_attempts(context, admitted, progress, run_once)
-    return answer
+    return response
 
 
 def _engine_request(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     body: dict[str, Any],
-    answer: ChatAnswer,
+    response: ChatResponse,
 ) -> CallRequest:
     engine_body = {
         **body,
@@ -143,8 +143,8 @@
         'stream_options': {'include_usage': True},
         'priority': int(admitted.urgency),
     }
-    if answer.text:
-        _continue_from(engine_body, answer)
+    if response.text:
+        _continue_from(engine_body, response)
     return CallRequest(
         method='POST',
         path=_PATH,
@@ -157,36 +157,36 @@
     )
 
 
-def _continue_from(engine_body: dict[str, Any], answer: ChatAnswer) -> None:
+def _continue_from(engine_body: dict[str, Any], response: ChatResponse) -> None:
     """Ask for the rest of an answer, by the parameters that vLLM documents."""
-    so_far = {'role': 'assistant', 'content': ''.join(answer.text)}
+    so_far = {'role': 'assistant', 'content': ''.join(response.text)}
     engine_body['messages'] = [*engine_body['messages'], so_far]
     engine_body['continue_final_message'] = True
     engine_body['add_generation_prompt'] = False
     for limit in ('max_tokens', 'max_completion_tokens'):
         if engine_body.get(limit):
-            engine_body[limit] = max(1, engine_body[limit] - answer.output_tokens)
+            engine_body[limit] = max(1, engine_body[limit] - response.output_tokens)
 
 
-def check_own(head: Head, admitted: Admitted) -> None:
+def check_request_id(head: ResponseHead, admitted: AdmittedRequest) -> None:
     """Raise ``UpstreamBrokenError`` for an answer to another request."""
     echoed = head.headers.get(REQUEST_ID_HEADER, admitted.request)
     if echoed != admitted.request:
         raise UpstreamBrokenError(f'answer to {echoed}, not {admitted.request}')
 
 
-async def _check_taken(head: Head, call: UpstreamCall) -> None:
+async def _check_status(head: ResponseHead, call: UpstreamCall) -> None:
     if head.status == _OK:
         return
-    if head.status >= _SERVER_ERRORS or head.status == _TOO_MANY:
+    if head.status >= _FIRST_SERVER_ERROR or head.status == _TOO_MANY_REQUESTS:
         raise UpstreamBrokenError(f'status {head.status}')
-    raise UpstreamRefusedError(head.status, await call.whole_body())
+    raise UpstreamRefusedError(head.status, await call.read_body())
 
 
 async def _read_stream(
     context: RouterContext,
-    admitted: Admitted,
-    answer: ChatAnswer,
+    admitted: AdmittedRequest,
+    response: ChatResponse,
     grant: Slot,
     call: UpstreamCall,
     deliver: Deliver,
@@ -201,8 +201,8 @@
                 _check_finished(attempt)
                 return
             chunk = _parse_chunk(event, attempt)
-            _account(context, admitted, answer, attempt, grant, chunk)
-            await _deliver_chunk(answer, chunk, deliver)
+            _record_chunk(context, admitted, response, attempt, grant, chunk)
+            await _deliver_chunk(response, chunk, deliver)
     raise UpstreamBrokenError('stream ended without its terminator')
 
 
@@ -231,10 +231,10 @@
     return chunk  # type: ignore[no-any-return]
 
 
-def _account(
+def _record_chunk(
     context: RouterContext,
-    admitted: Admitted,
-    answer: ChatAnswer,
+    admitted: AdmittedRequest,
+    response: ChatResponse,
     attempt: _Attempt,
     grant: Slot,
     chunk: dict[str, Any],
@@ -242,47 +242,47 @@
     choice = (chunk.get('choices') or [{}])[0]
     if choice.get('finish_reason'):
         attempt.finished = True
-        answer.finish_reason = choice['finish_reason']
+        response.finish_reason = choice['finish_reason']
     usage = chunk.get('usage')
     if usage:
-        answer.prompt_tokens = answer.prompt_tokens or usage['prompt_tokens']
+        response.prompt_tokens = response.prompt_tokens or usage['prompt_tokens']
         grant.record_cost(run_cost(usage['prompt_tokens'], attempt.output_tokens))
     text = (choice.get('delta') or {}).get('content')
     if not text:
         return
-    answer.text.append(text)
-    answer.output_tokens += 1
+    response.text.append(text)
+    response.output_tokens += 1
     attempt.output_tokens += 1
     grant.record_cost(run_cost(prompt_cost(len(admitted.body)), attempt.output_tokens))
-    _note_timing(context, admitted, answer, attempt, grant)
+    _record_timing(context, admitted, response, attempt, grant)
 
 
-def _note_timing(
+def _record_timing(
     context: RouterContext,
-    admitted: Admitted,
-    answer: ChatAnswer,
+    admitted: AdmittedRequest,
+    response: ChatResponse,
     attempt: _Attempt,
     grant: Slot,
 ) -> None:
     now = context.fleet.now()
-    labels = (admitted.account, admitted.class_name)
+    labels = (admitted.account, admitted.urgency_name)
     if attempt.last_token_at is not None:
         gap = now - attempt.last_token_at
         grant.record_gap(gap)
         context.histograms.record('token_gap_ms', labels, gap * _MS_PER_SECOND)
-    elif answer.output_tokens == 1:
+    elif response.output_tokens == 1:
         first = now - admitted.admitted_at
         context.histograms.record('first_token_ms', labels, first * _MS_PER_SECOND)
     attempt.last_token_at = now
 
 
 async def _deliver_chunk(
-    answer: ChatAnswer,
+    response: ChatResponse,
     chunk: dict[str, Any],
     deliver: Deliver,
 ) -> None:
     if not chunk.get('choices'):
         return
     chunk.pop('usage', None)
-    chunk['id'] = answer.completion_id
+    chunk['id'] = response.completion_id
     await deliver(chunk)
--- a/packages/router/src/hitchdeck_router/dispatch/ends.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ends.py
@@ -9,35 +9,35 @@
 from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.calls import takes_connections
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.calls import accepts_connections
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import NotRunError
 
-APART_SECONDS = 10
+INCARNATION_WINDOW_SECONDS = 10
 """Two ends of one upstream this far apart are two lives: upstreams of this product
 say nothing of their starts, and several routers see one end within some ms."""
 
 _UNAVAILABLE = 503
 
 
-def life_of(name: UpstreamName) -> LifeId:
+def incarnation_of(name: UpstreamName) -> LifeId:
     """Return the life of an upstream that ends now, the same at every router.
 
     Two clocks that differ may name two, and then two ends are enough in place
     of three.
     """
-    return LifeId(f'{name}@{int(wall_seconds() // APART_SECONDS)}')
+    return LifeId(f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}')
 
 
-def endings_of(quarantine: Quarantine) -> Endings:
+def crash_detector_of(quarantine: Quarantine) -> Endings:
     """Return what finds out about ends; schedulers hear of each failure anyway."""
     return Endings(quarantine, on_end=str)
 
 
-def check_not_quarantined(context: RouterContext, admitted: Admitted) -> None:
+def check_not_quarantined(context: RouterContext, admitted: AdmittedRequest) -> None:
     """Raise ``NotRunError`` for a request under which upstreams ended."""
     # Six of six engines ended under one that came again, at any router.
-    if context.fleet.quarantine.holds(admitted.content):
+    if context.fleet.quarantine.holds(admitted.fingerprint):
         raise NotRunError(
             _UNAVAILABLE,
             'quarantined',
@@ -46,8 +46,10 @@
         )
 
 
-def doubt(context: RouterContext, admitted: Admitted, upstream: Upstream) -> None:
+def check_for_crash(
+    context: RouterContext, admitted: AdmittedRequest, upstream: Upstream
+) -> None:
     """Find out whether an upstream that gave no whole answer has ended."""
-    reaches = partial(takes_connections, upstream.address)
-    life = life_of(UpstreamName(upstream.name))
-    context.endings.note(life, admitted.content, reaches)
+    probe = partial(accepts_connections, upstream.address)
+    incarnation = incarnation_of(UpstreamName(upstream.name))
+    context.endings.note(incarnation, admitted.fingerprint, probe)
--- a/packages/router/src/hitchdeck_router/dispatch/ledger.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ledger.py
@@ -12,15 +12,15 @@
 from hitchdeck_core.ids import Incarnation, UpstreamName
 from hitchdeck_core.outcomes import Granted, Outcome, Pending, Refused, Settled
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_router.dispatch.requests import Admitted, Key
+from hitchdeck_router.dispatch.requests import AdmittedRequest, IdempotencyKey
 from hitchdeck_router.errors import NotRunError, OutcomeUnknownError, RouterError
 
-LARGEST_KEPT_ANSWER = 65_536
+MAX_STORED_RESPONSE_BYTES = 65_536
 
-_CLAIM_SECONDS = 5.0
-_SETTLE_SECONDS = 60.0
+_CLAIM_TIMEOUT_SECONDS = 5.0
+_SETTLE_TIMEOUT_SECONDS = 60.0
 _PENDING_POLLS = 25
-_PENDING_PAUSE = 0.2
+_PENDING_POLL_SECONDS = 0.2
 _CONFLICT = 409
 _GONE = 410
 _UNAVAILABLE = 503
@@ -28,7 +28,7 @@
 _RETRY_AFTER_SECONDS = 2.0
 
 
-class Ran(Enum):
+class RunStatus(Enum):
     """What is known of a run."""
 
     ran = 'ran'
@@ -37,10 +37,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredResponse:
     """An answer that was given before, or is to be kept."""
 
-    ran: Ran
+    ran: RunStatus
     status: int = 0
     content_type: str = ''
     body: bytes = b''
@@ -63,10 +63,10 @@
 
     async def claim(
         self,
-        admitted: Admitted,
-        key: Key,
+        admitted: AdmittedRequest,
+        key: IdempotencyKey,
         upstream: UpstreamName,
-    ) -> KeptAnswer | None:
+    ) -> StoredResponse | None:
         """Claim the run of a request.
 
         Returns
@@ -94,15 +94,15 @@
             upstream=upstream,
         )
         for _ in range(_PENDING_POLLS):
-            outcome = await self._ask(admitted, key, claim)
+            outcome = await self._submit_claim(admitted, key, claim)
             if isinstance(outcome, Granted):
                 return None
             if isinstance(outcome, Settled):
-                return _kept(outcome)
+                return _stored_response(outcome)
             if isinstance(outcome, Refused):
-                raise _refusal(outcome)
+                raise _refusal_error(outcome)
             assert isinstance(outcome, Pending)
-            await asyncio.sleep(_PENDING_PAUSE)
+            await asyncio.sleep(_PENDING_POLL_SECONDS)
         raise OutcomeUnknownError(
             _CONFLICT,
             'in-progress',
@@ -110,33 +110,37 @@
             _RETRY_AFTER_SECONDS,
         )
 
-    def settle(self, admitted: Admitted, key: Key, answer: KeptAnswer) -> None:
+    def settle(
+        self, admitted: AdmittedRequest, key: IdempotencyKey, response: StoredResponse
+    ) -> None:
         """Record how a claimed run ended, in the background.
 
         Until that is committed, whoever asks again is told to wait, which
         is true.
         """
-        body = base64.b64encode(answer.body).decode()
-        if len(answer.body) > LARGEST_KEPT_ANSWER:
+        body = base64.b64encode(response.body).decode()
+        if len(response.body) > MAX_STORED_RESPONSE_BYTES:
             body = ''
         settle = Settle(
             account=admitted.account,
             key=key.text,
             request=admitted.request,
-            ran=answer.ran.value,
-            status=answer.status,
-            content_type=answer.content_type,
+            ran=response.ran.value,
+            status=response.status,
+            content_type=response.content_type,
             body=body,
         )
         self.supervisor.temporary('settle', self._settle(settle))
 
-    async def _ask(self, admitted: Admitted, key: Key, claim: Claim) -> Outcome:
+    async def _submit_claim(
+        self, admitted: AdmittedRequest, key: IdempotencyKey, claim: Claim
+    ) -> Outcome:
         try:
-            return await self.client.execute(claim, _CLAIM_SECONDS)
+            return await self.client.execute(claim, _CLAIM_TIMEOUT_SECONDS)
         except LinkError as error:
             # The claim may be committed all the same: free the key, since
             # nothing was sent on and nothing will be.
-            self.settle(admitted, key, KeptAnswer(Ran.not_run))
+            self.settle(admitted, key, StoredResponse(RunStatus.not_run))
             raise NotRunError(
                 _UNAVAILABLE,
                 'ledger-unreachable',
@@ -146,17 +150,19 @@
 
     async def _settle(self, settle: Settle) -> None:
         try:
-            await self.client.execute(settle, _SETTLE_SECONDS)
+            await self.client.execute(settle, _SETTLE_TIMEOUT_SECONDS)
         except LinkError as error:
             logs.warning('outcome not recorded', key=settle.key, reason=str(error))
 
 
-def _kept(settled: Settled) -> KeptAnswer:
+def _stored_response(settled: Settled) -> StoredResponse:
     body = base64.b64decode(settled.body)
-    return KeptAnswer(Ran(settled.ran), settled.status, settled.content_type, body)
+    return StoredResponse(
+        RunStatus(settled.ran), settled.status, settled.content_type, body
+    )
 
 
-def _refusal(refused: Refused) -> RouterError:
+def _refusal_error(refused: Refused) -> RouterError:
     if refused.code == 'expired':
         return NotRunError(_GONE, 'key-expired', refused.reason)
     if refused.code == 'content-conflict':
--- a/packages/router/src/hitchdeck_router/dispatch/pauses.py
+++ b/packages/router/src/hitchdeck_router/dispatch/pauses.py
@@ -4,19 +4,21 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_core.retry_after import RETRY_AFTER, pause_asked
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.calls import Head
+from hitchdeck_router.dispatch.calls import ResponseHead
 from hitchdeck_router.errors import GrantLostError, NotRunError
 
 _UNAVAILABLE = 503
 
 
-def heed(context: RouterContext, upstream: Upstream, head: Head) -> None:
+def apply_backpressure(
+    context: RouterContext, upstream: Upstream, head: ResponseHead
+) -> None:
     """Keep to the pause that an upstream asks for in an answer."""
     seconds = pause_asked(head.status, head.headers.get(RETRY_AFTER, ''))
     context.backpressure.pause(UpstreamName(upstream.name), seconds)
 
 
-def check_not_paused(context: RouterContext, pool: PoolName) -> None:
+def check_pool_accepting(context: RouterContext, pool: PoolName) -> None:
     """Raise ``NotRunError`` while every upstream of a pool wants a pause."""
     if not context.backpressure.closed():
         return
@@ -32,7 +34,7 @@
         )
 
 
-def check_wants_requests(context: RouterContext, name: UpstreamName) -> None:
+def check_accepting(context: RouterContext, name: UpstreamName) -> None:
     """Raise ``GrantLostError`` during the backoff of an upstream."""
     # Entry boxes sent up to 37 requests to one within the 3 s that it asked for.
     if not context.backpressure.wants_requests(name):
--- a/packages/router/src/hitchdeck_router/dispatch/requests.py
+++ b/packages/router/src/hitchdeck_router/dispatch/requests.py
@@ -12,11 +12,11 @@
 from hitchdeck_core.resources import Urgency
 from hitchdeck_core.wire.hitchdeck_pb2 import Ticket
 
-_MOST_PREFIX_BLOCKS = 8
+_MAX_PREFIX_BLOCKS = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
+class IdempotencyKey:
     """An idempotency key; ``issued`` in Unix seconds."""
 
     text: str
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be scheduled.
 
     Attributes
@@ -40,7 +40,7 @@
         Tells whether its caller has closed the connection, as its socket has it.
     target
         Method and path, as they were asked for.
-    content
+    fingerprint
         What is the same in each repeat of it, whatever its id.
     """
 
@@ -53,28 +53,28 @@
     body: bytes
     session: str = ''
     prefix: tuple[int, ...] = ()
-    key: Key | None = None
+    key: IdempotencyKey | None = None
     admitted_at: float = 0.0
     avoid: set[UpstreamName] = field(default_factory=set)
     upstream: str = ''
-    has_left: Callable[[], bool] = bool
+    has_disconnected: Callable[[], bool] = bool
     target: str = ''
-    content: Fingerprint = field(init=False)
+    fingerprint: Fingerprint = field(init=False)
 
     def __post_init__(self) -> None:
         """Take the fingerprint of what the caller sent."""
         target, account = self.target.encode(), self.account.encode()
-        self.content = fingerprint_of(target, account, self.body)
+        self.fingerprint = fingerprint_of(target, account, self.body)
 
     @property
-    def class_name(self) -> str:
+    def urgency_name(self) -> str:
         """Name of the class that histograms are kept for."""
         return self.urgency.name
 
-    def ticket(self, now: float, closed: Set[UpstreamName]) -> Ticket:
+    def ticket(self, now: float, blocked: Set[UpstreamName]) -> Ticket:
         """Return a ticket for the scheduler; it gets its number there.
 
-        ``closed`` are the upstreams that want nothing from this router.
+        ``blocked`` are the upstreams that want nothing from this router.
         """
         left = 0
         if self.deadline:
@@ -86,7 +86,7 @@
             cost_hint=round(self.hint),
             session=self.session,
             prefix=self.prefix,
-            avoid=sorted(closed | self.avoid),
+            avoid=sorted(blocked | self.avoid),
         )
 
 
@@ -99,7 +99,7 @@
     """Return a hash for each growing prefix of a conversation."""
     blocks = []
     running = model
-    for message in messages[:_MOST_PREFIX_BLOCKS]:
+    for message in messages[:_MAX_PREFIX_BLOCKS]:
         text = json.dumps(message, sort_keys=True)
         running = str(stable_hash(running, text))
         blocks.append(int(running))
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -10,15 +10,15 @@
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
 from hitchdeck_router.dispatch.calls import (
     CallRequest,
-    Head,
+    ResponseHead,
     UpstreamCall,
     open_call,
 )
-from hitchdeck_router.dispatch.chat import REQUEST_ID_HEADER, check_own
-from hitchdeck_router.dispatch.ends import doubt
-from hitchdeck_router.dispatch.pauses import heed
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import AnswerCutError, UpstreamBrokenError
+from hitchdeck_router.dispatch.chat import REQUEST_ID_HEADER, check_request_id
+from hitchdeck_router.dispatch.ends import check_for_crash
+from hitchdeck_router.dispatch.pauses import apply_backpressure
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import ResponseTruncatedError, UpstreamBrokenError
 from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.scheduling.holding import Slot
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """The service's answer; the body only as far as it is kept."""
 
     status: int = 0
@@ -42,13 +42,13 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-DeliverHead = Callable[[Head], Awaitable[None]]
+DeliverHead = Callable[[ResponseHead], Awaitable[None]]
 DeliverBytes = Callable[[bytes], Awaitable[None]]
 
 
 async def run_service(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     request: ServiceRequest,
     deliver_head: DeliverHead,
     deliver_bytes: DeliverBytes,
@@ -77,12 +77,12 @@
         )
         try:
             head = await call.head()
-            check_own(head, admitted)
-            heed(context, upstream, head)
+            check_request_id(head, admitted)
+            apply_backpressure(context, upstream, head)
             await deliver_head(head)
-            await _pass_body(call, deliver_bytes)
-        except AnswerCutError:
-            doubt(context, admitted, upstream)
+            await _forward_body(call, deliver_bytes)
+        except ResponseTruncatedError:
+            check_for_crash(context, admitted, upstream)
             raise
         finally:
             call.close()
@@ -90,9 +90,9 @@
     await run_attempts(context, admitted, progress, run_once)
 
 
-async def _pass_body(call: UpstreamCall, deliver_bytes: DeliverBytes) -> None:
+async def _forward_body(call: UpstreamCall, deliver_bytes: DeliverBytes) -> None:
     try:
         async for chunk in call.chunks():
             await deliver_bytes(chunk)
     except UpstreamBrokenError as error:
-        raise AnswerCutError(str(error)) from error
+        raise ResponseTruncatedError(str(error)) from error
--- a/packages/router/src/hitchdeck_router/dispatch/sse.py
+++ b/packages/router/src/hitchdeck_router/dispatch/sse.py
@@ -4,7 +4,7 @@
 
 DONE = b'[DONE]'
 _DATA_FIELD = b'data:'
-_LONGEST_EVENT = 1024 * 1024
+_MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventTooLongError(Exception):
@@ -15,13 +15,13 @@
     """Cuts a byte stream into the data of its events."""
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.buffer = b''
 
     def feed(self, chunk: bytes) -> Iterator[bytes]:
         """Yield the data of each event that the chunk completes."""
-        *lines, self.rest = (self.rest + chunk).split(b'\n')
-        if len(self.rest) > _LONGEST_EVENT:
-            raise EventTooLongError(f'event over {_LONGEST_EVENT} bytes')
+        *lines, self.buffer = (self.buffer + chunk).split(b'\n')
+        if len(self.buffer) > _MAX_EVENT_BYTES:
+            raise EventTooLongError(f'event over {_MAX_EVENT_BYTES} bytes')
         for line in lines:
             if line.startswith(_DATA_FIELD):
                 yield line[len(_DATA_FIELD) :].strip()
--- a/packages/router/src/hitchdeck_router/errors.py
+++ b/packages/router/src/hitchdeck_router/errors.py
@@ -47,7 +47,7 @@
     """Raised when an answer stopped short, or is not an answer to this call."""
 
 
-class AnswerCutError(UpstreamError):
+class ResponseTruncatedError(UpstreamError):
     """Raised when an answer broke after part of it was passed on."""
 
 
@@ -64,5 +64,5 @@
     """Raised when a granted upstream may no longer be used; ask again."""
 
 
-class CallerLeftError(HitchdeckError):
+class CallerDisconnectedError(HitchdeckError):
     """Raised when a caller has closed its connection before anything was sent."""
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -19,7 +19,7 @@
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterHello
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.ends import endings_of
+from hitchdeck_router.dispatch.ends import crash_detector_of
 from hitchdeck_router.dispatch.ledger import Ledger
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
@@ -144,7 +144,7 @@
         ledger=Ledger(client, settings.box, incarnation, supervisor),
         histograms=Histograms(boot_seconds),
         supervisor=supervisor,
-        endings=endings_of(fleet.quarantine),
+        endings=crash_detector_of(fleet.quarantine),
         backpressure=Backpressure(boot_seconds),
     )
 
--- a/packages/router/src/hitchdeck_router/serving/admission.py
+++ b/packages/router/src/hitchdeck_router/serving/admission.py
@@ -11,7 +11,7 @@
 from hitchdeck_core.ids import AccountName, PoolName, SessionName
 from hitchdeck_core.labels import check_labels
 from hitchdeck_core.resources import Pool, PoolKind, Urgency
-from hitchdeck_router.dispatch.requests import Key, body_digest
+from hitchdeck_router.dispatch.requests import IdempotencyKey, body_digest
 from hitchdeck_router.errors import NotRunError
 from hitchdeck_router.fleet.view import FleetView
 
@@ -131,7 +131,7 @@
     return seconds
 
 
-def check_key(headers: HTTPHeaders, path: str, body: bytes) -> Key | None:
+def check_key(headers: HTTPHeaders, path: str, body: bytes) -> IdempotencyKey | None:
     """Return the idempotency key, ``None`` if there is none.
 
     A key must say when it was made, as a UUID of version 7 does, or in the
@@ -149,7 +149,7 @@
             f'{KEY_HEADER} {text!r} is neither a UUID of version 7 nor '
             '<Unix seconds>-<text>',
         )
-    return Key(text, issued, body_digest(path, body))
+    return IdempotencyKey(text, issued, body_digest(path, body))
 
 
 def _issue_time(text: str) -> float | None:
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -15,8 +15,8 @@
 from hitchdeck_core.ids import AccountName, RequestId
 from hitchdeck_core.sockets import has_ended
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import CallerLeftError, NotRunError, RouterError
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import CallerDisconnectedError, NotRunError, RouterError
 
 RAN_HEADER = 'Hitchdeck-Ran'
 REQUEST_HEADER = 'Hitchdeck-Request-Id'
@@ -52,7 +52,7 @@
         self.work: asyncio.Future[None] | None = None
         self.gone = False
         self.account = AccountName('')
-        self.admitted: Admitted | None = None
+        self.admitted: AdmittedRequest | None = None
 
     def prepare(self) -> None:
         """Refuse a body whose announced length is too large."""
@@ -78,7 +78,7 @@
         if self.work is not None:
             self.work.cancel()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell whether the caller has closed, by what its socket holds now."""
         connection = self.request.connection
         if self.gone or not isinstance(connection, HTTP1Connection):
@@ -96,7 +96,7 @@
         self.work = asyncio.ensure_future(work)
         try:
             await self.work
-        except (asyncio.CancelledError, StreamClosedError, CallerLeftError):
+        except (asyncio.CancelledError, StreamClosedError, CallerDisconnectedError):
             self.note_outcome('caller-gone')
         except RouterError as error:
             self.refuse(error)
--- a/packages/router/src/hitchdeck_router/serving/chat.py
+++ b/packages/router/src/hitchdeck_router/serving/chat.py
@@ -9,9 +9,9 @@
 from hitchdeck_core.ids import AccountName
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.attempts import ReplayError
-from hitchdeck_router.dispatch.chat import ChatAnswer, run_chat
-from hitchdeck_router.dispatch.ledger import KeptAnswer, Ran
-from hitchdeck_router.dispatch.requests import Admitted, prefix_blocks
+from hitchdeck_router.dispatch.chat import ChatResponse, run_chat
+from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
+from hitchdeck_router.dispatch.requests import AdmittedRequest, prefix_blocks
 from hitchdeck_router.dispatch.sse import DONE, event
 from hitchdeck_router.errors import UpstreamRefusedError
 from hitchdeck_router.scheduling.costs import cost_hint
@@ -43,20 +43,22 @@
         admitted = self._admit(account, raw, body)
         self.admitted = admitted
         try:
-            answer = await self._run(admitted, body)
+            response = await self._run(admitted, body)
         except UpstreamRefusedError as error:
             await self._pass_refusal(error)
         except ReplayError as error:
-            await self._replay(error.answer, body)
+            await self._replay(error.response, body)
         else:
-            await self._finish(answer, body)
+            await self._finish(response, body)
 
-    def _admit(self, name: AccountName, raw: bytes, body: dict[str, Any]) -> Admitted:
+    def _admit(
+        self, name: AccountName, raw: bytes, body: dict[str, Any]
+    ) -> AdmittedRequest:
         view = self.context.fleet.view
         headers = self.request.headers
         pool = admission.check_model_pool(view, name, body['model'])
         limit = body.get('max_completion_tokens') or body.get('max_tokens')
-        return Admitted(
+        return AdmittedRequest(
             request=self.request_id,
             account=name,
             pool=pool,
@@ -68,11 +70,13 @@
             prefix=prefix_blocks(body['model'], body['messages']),
             key=admission.check_key(headers, self.request.path, raw),
             admitted_at=self.context.fleet.now(),
-            has_left=self.has_left,
+            has_disconnected=self.has_disconnected,
             target=f'{self.request.method} {self.request.uri}',
         )
 
-    async def _run(self, admitted: Admitted, body: dict[str, Any]) -> ChatAnswer:
+    async def _run(
+        self, admitted: AdmittedRequest, body: dict[str, Any]
+    ) -> ChatResponse:
         if admitted.key is None:
             return await run_chat(self.context, admitted, body, self._deliver)
         # A claimed run goes on without its caller: who asks again under the
@@ -82,15 +86,15 @@
 
     async def _run_claimed(
         self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         body: dict[str, Any],
-    ) -> ChatAnswer:
+    ) -> ChatResponse:
         assert admitted.key is not None
-        answer = await run_chat(self.context, admitted, body, self._deliver_if_there)
-        content = json.dumps(answer.whole()).encode()
-        kept = KeptAnswer(Ran.ran, _OK, _JSON, content)
-        self.context.ledger.settle(admitted, admitted.key, kept)
-        return answer
+        response = await run_chat(self.context, admitted, body, self._deliver_if_there)
+        content = json.dumps(response.completion()).encode()
+        stored = StoredResponse(RunStatus.ran, _OK, _JSON, content)
+        self.context.ledger.settle(admitted, admitted.key, stored)
+        return response
 
     async def _deliver(self, chunk: dict[str, Any]) -> None:
         if not self.streams:
@@ -109,15 +113,15 @@
         except StreamClosedError:
             self.gone = True
 
-    async def _finish(self, answer: ChatAnswer, body: dict[str, Any]) -> None:
+    async def _finish(self, response: ChatResponse, body: dict[str, Any]) -> None:
         self.note_outcome('ran')
         if not body.get('stream'):
             self.set_header(RAN_HEADER, 'ran')
-            await self.finish(answer.whole())
+            await self.finish(response.completion())
             return
         options = body.get('stream_options') or {}
         if options.get('include_usage'):
-            self.write(event(json.dumps(_usage_chunk(answer)).encode()))
+            self.write(event(json.dumps(_usage_chunk(response)).encode()))
         self.write(event(DONE))
         await self.finish()
 
@@ -128,37 +132,37 @@
         self.set_header(RAN_HEADER, 'ran')
         await self.finish(error.body)
 
-    async def _replay(self, kept: KeptAnswer, body: dict[str, Any]) -> None:
-        check_replayable(kept)
+    async def _replay(self, stored: StoredResponse, body: dict[str, Any]) -> None:
+        check_replayable(stored)
         self.note_outcome('replayed')
-        self.set_status(kept.status)
+        self.set_status(stored.status)
         self.set_header(RAN_HEADER, 'ran')
-        if not body.get('stream') or kept.status != _OK:
-            self.set_header('Content-Type', kept.content_type)
-            await self.finish(kept.body)
+        if not body.get('stream') or stored.status != _OK:
+            self.set_header('Content-Type', stored.content_type)
+            await self.finish(stored.body)
             return
         self.set_header('Content-Type', 'text/event-stream')
-        self.write(event(json.dumps(_as_chunk(json.loads(kept.body))).encode()))
+        self.write(event(json.dumps(_as_chunk(json.loads(stored.body))).encode()))
         self.write(event(DONE))
         await self.finish()
 
 
-def _usage_chunk(answer: ChatAnswer) -> dict[str, Any]:
+def _usage_chunk(response: ChatResponse) -> dict[str, Any]:
     return {
-        'id': answer.completion_id,
+        'id': response.completion_id,
         'object': 'chat.completion.chunk',
-        'created': answer.created,
-        'model': answer.model,
+        'created': response.created,
+        'model': response.model,
         'choices': [],
-        'usage': answer.usage(),
+        'usage': response.usage(),
     }
 
 
-def _as_chunk(whole: dict[str, Any]) -> dict[str, Any]:
+def _as_chunk(completion: dict[str, Any]) -> dict[str, Any]:
     """Return a kept answer as the one chunk of a stream."""
-    choice = whole['choices'][0]
+    choice = completion['choices'][0]
     return {
-        **whole,
+        **completion,
         'object': 'chat.completion.chunk',
         'choices': [
             {
--- a/packages/router/src/hitchdeck_router/serving/replay.py
+++ b/packages/router/src/hitchdeck_router/serving/replay.py
@@ -1,19 +1,19 @@
 """Answers that the ledger kept."""
 
-from hitchdeck_router.dispatch.ledger import KeptAnswer, Ran
+from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
 from hitchdeck_router.errors import OutcomeUnknownError, RouterError
 
 _CONFLICT = 409
 _GONE = 410
 
 
-class AnswerNotKeptError(RouterError):
+class ResponseNotStoredError(RouterError):
     """Raised when a request ran, but its answer was too large to keep."""
 
     ran = 'ran'
 
 
-def check_replayable(kept: KeptAnswer) -> None:
+def check_replayable(stored: StoredResponse) -> None:
     """Raise the error that stands in the place of a kept answer, if any.
 
     Raises
@@ -23,14 +23,14 @@
     AnswerNotKeptError
         It ran, and its answer is gone.
     """
-    if kept.ran is not Ran.ran:
+    if stored.ran is not RunStatus.ran:
         raise OutcomeUnknownError(
             _CONFLICT,
             'outcome-unknown',
             'a request with this key was sent on; how it ended is not known',
         )
-    if not kept.body and kept.content_type:
-        raise AnswerNotKeptError(
+    if not stored.body and stored.content_type:
+        raise ResponseNotStoredError(
             _GONE,
             'answer-not-kept',
             'the request ran; its answer was too large to keep',
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -6,19 +6,19 @@
 
 from hitchdeck_core.ids import AccountName, PoolName
 from hitchdeck_router.dispatch.attempts import ReplayError
-from hitchdeck_router.dispatch.calls import Head
+from hitchdeck_router.dispatch.calls import ResponseHead
 from hitchdeck_router.dispatch.ledger import (
-    LARGEST_KEPT_ANSWER,
-    KeptAnswer,
-    Ran,
+    MAX_STORED_RESPONSE_BYTES,
+    RunStatus,
+    StoredResponse,
 )
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.dispatch.services import (
-    ServiceAnswer,
     ServiceRequest,
+    ServiceResponse,
     run_service,
 )
-from hitchdeck_router.errors import AnswerCutError, NotRunError
+from hitchdeck_router.errors import NotRunError, ResponseTruncatedError
 from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.serving import admission
 from hitchdeck_router.serving.base import RAN_HEADER, Door
@@ -72,15 +72,15 @@
                 running = asyncio.ensure_future(self._run(admitted, request))
                 await asyncio.shield(running)
         except ReplayError as error:
-            await self._replay(error.answer)
-        except AnswerCutError:
+            await self._replay(error.response)
+        except ResponseTruncatedError:
             self._cut()
 
-    def _admit(self, account: AccountName, pool: PoolName) -> Admitted:
+    def _admit(self, account: AccountName, pool: PoolName) -> AdmittedRequest:
         view = self.context.fleet.view
         headers = self.request.headers
         body = self.check_body()
-        return Admitted(
+        return AdmittedRequest(
             request=self.request_id,
             account=account,
             pool=pool,
@@ -96,7 +96,7 @@
             session=admission.check_session(view, account, pool, headers),
             key=admission.check_key(headers, self.request.uri or '', body),
             admitted_at=self.context.fleet.now(),
-            has_left=self.has_left,
+            has_disconnected=self.has_disconnected,
             target=f'{self.request.method} {self.request.uri}',
         )
 
@@ -115,17 +115,17 @@
         method = self.request.method or 'GET'
         return ServiceRequest(method, f'/{path}{query}', headers, repeatable)
 
-    async def _run(self, admitted: Admitted, request: ServiceRequest) -> None:
-        answer = ServiceAnswer()
+    async def _run(self, admitted: AdmittedRequest, request: ServiceRequest) -> None:
+        response = ServiceResponse()
 
-        async def deliver_head(head: Head) -> None:
-            answer.status = head.status
-            answer.headers = head.headers
+        async def deliver_head(head: ResponseHead) -> None:
+            response.status = head.status
+            response.headers = head.headers
             self._copy_head(head)
 
         async def deliver_bytes(chunk: bytes) -> None:
-            if len(answer.body) <= LARGEST_KEPT_ANSWER:
-                answer.body += chunk
+            if len(response.body) <= MAX_STORED_RESPONSE_BYTES:
+                response.body += chunk
             await self._pass_on(chunk, claimed=admitted.key is not None)
 
         await run_service(
@@ -137,17 +137,17 @@
         )
         self.note_outcome('ran')
         if admitted.key is not None:
-            kept = KeptAnswer(
-                Ran.ran,
-                answer.status,
-                answer.headers.get('Content-Type', ''),
-                bytes(answer.body),
+            stored = StoredResponse(
+                RunStatus.ran,
+                response.status,
+                response.headers.get('Content-Type', ''),
+                bytes(response.body),
             )
-            self.context.ledger.settle(admitted, admitted.key, kept)
+            self.context.ledger.settle(admitted, admitted.key, stored)
         if not self.gone:
             await self.finish()
 
-    def _copy_head(self, head: Head) -> None:
+    def _copy_head(self, head: ResponseHead) -> None:
         self.set_status(head.status)
         self.set_header(RAN_HEADER, 'ran')
         for name in _PASSED_ANSWER_HEADERS:
@@ -165,14 +165,14 @@
             if not claimed:
                 raise
 
-    async def _replay(self, kept: KeptAnswer) -> None:
-        check_replayable(kept)
+    async def _replay(self, stored: StoredResponse) -> None:
+        check_replayable(stored)
         self.note_outcome('replayed')
-        self.set_status(kept.status)
+        self.set_status(stored.status)
         self.set_header(RAN_HEADER, 'ran')
-        if kept.status not in _BODILESS:
-            self.set_header('Content-Type', kept.content_type)
-            self.write(kept.body)
+        if stored.status not in _BODILESS:
+            self.set_header('Content-Type', stored.content_type)
+            self.write(stored.body)
         await self.finish()
 
     def _cut(self) -> None:
@@ -182,7 +182,7 @@
             self.request.connection.stream.close()  # type: ignore[attr-defined]
 
 
-def _check_has_key(admitted: Admitted, request: ServiceRequest) -> None:
+def _check_has_key(admitted: AdmittedRequest, request: ServiceRequest) -> None:
     if request.repeatable or admitted.key is not None:
         return
     raise NotRunError(
--- a/tests/cover/test_caller_left.py
+++ b/tests/cover/test_caller_left.py
@@ -18,13 +18,13 @@
 from hitchdeck_core.resources import Urgency
 from hitchdeck_core.signals import Signal
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import CallerLeftError
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import CallerDisconnectedError
 from hitchdeck_router.scheduling.holding import Slot
 
 
-def admitted_of(has_left: Callable[[], bool]) -> Admitted:
-    return Admitted(
+def admitted_of(has_disconnected: Callable[[], bool]) -> AdmittedRequest:
+    return AdmittedRequest(
         request=RequestId('r'),
         account=AccountName('ann'),
         pool=PoolName('chat'),
@@ -32,7 +32,7 @@
         deadline=0,
         hint=1,
         body=b'',
-        has_left=has_left,
+        has_disconnected=has_disconnected,
     )
 
 
@@ -81,7 +81,7 @@
         run_once,
     )
     if left:
-        with pytest.raises(CallerLeftError):
+        with pytest.raises(CallerDisconnectedError):
             await run
     else:
         await run
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -21,7 +21,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.dispatch.connections import Connections
-from hitchdeck_router.dispatch.calls import takes_connections
+from hitchdeck_router.dispatch.calls import accepts_connections
 from tests.common.scheduling import engine
 
 SECONDS = 5.0
@@ -46,7 +46,7 @@
 
 
 def of_router(address: Address) -> Reaches:
-    return partial(takes_connections, address)
+    return partial(accepts_connections, address)
 
 
 def of_box(address: Address) -> Reaches:
