--- a/bench/ticket_cost.py
+++ b/bench/ticket_cost.py
@@ -90,7 +90,7 @@
         ),
     )
     lease = ConfigurationLease(boot_seconds)
-    lease.until = float('inf')
+    lease.expires_at = float('inf')
     directory = FleetDirectory()
     shard = ShardEntry(
         shard=f'{_POOL}/0',
--- a/packages/router/src/hitchdeck_router/fleet/index.py
+++ b/packages/router/src/hitchdeck_router/fleet/index.py
@@ -22,21 +22,21 @@
 
     def __init__(self) -> None:
         self.labels: dict[UpstreamName, Labels] = {}
-        self.holders: dict[tuple[str, str], set[UpstreamName]] = defaultdict(set)
+        self.names_by_label: dict[tuple[str, str], set[UpstreamName]] = defaultdict(set)
 
     def put(self, name: UpstreamName, labels: Labels) -> None:
         """Take up an upstream's labels, in place of those it had."""
         self.remove(name)
         self.labels[name] = labels
         for pair in labels.items():
-            self.holders[pair].add(name)
+            self.names_by_label[pair].add(name)
 
     def remove(self, name: UpstreamName) -> None:
         """Forget an upstream, if it is known."""
         for pair in self.labels.pop(name, {}).items():
-            self.holders[pair].discard(name)
-            if not self.holders[pair]:
-                self.holders.pop(pair)
+            self.names_by_label[pair].discard(name)
+            if not self.names_by_label[pair]:
+                self.names_by_label.pop(pair)
 
     def matching(self, selector: Selector) -> set[UpstreamName]:
         """Return the upstreams that a selector matches."""
@@ -55,16 +55,16 @@
         for requirement in selector.requirements:
             if requirement.operator is not Operator.one_of:
                 continue
-            found = self._holders_of(requirement)
+            found = self._names_with_label(requirement)
             if len(found) < len(narrowest):
                 narrowest = found
         return narrowest
 
-    def _holders_of(self, requirement: Requirement) -> set[UpstreamName]:
+    def _names_with_label(self, requirement: Requirement) -> set[UpstreamName]:
         if requirement.key == _NAME_KEY:
             names = (UpstreamName(choice) for choice in requirement.choices)
             return {name for name in names if name in self.labels}
         found: set[UpstreamName] = set()
         for choice in requirement.choices:
-            found |= self.holders.get((requirement.key, choice), set())
+            found |= self.names_by_label.get((requirement.key, choice), set())
         return found
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -27,9 +27,9 @@
 from hitchdeck_router.fleet.traffic import Traffic
 from hitchdeck_router.fleet.view import FleetView
 
-_BEAT_PERIOD = 1.0
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 1.0
+_BEAT_PERIOD_SECONDS = 1.0
+_MIN_RECONNECT_DELAY_SECONDS = 0.1
+_MAX_RECONNECT_DELAY_SECONDS = 1.0
 _RECEIVE_TIMEOUT_SECONDS = 2.5
 """Seconds without a frame after which the leader is taken for lost."""
 
@@ -56,13 +56,13 @@
 class UsageExchange:
     """How sums of cost reach and leave this router.
 
-    ``grown`` returns what has grown since it was last asked; ``tell_all``
-    makes it start over; ``take`` gets other shards' sums and their term.
+    ``unreported`` returns what has grown since it was last asked; ``restart``
+    makes it start over; ``apply`` gets other shards' sums and their term.
     """
 
-    grown: Callable[[], list[UsageSum]]
-    tell_all: Callable[[], None]
-    take: Callable[[list[UsageSum], int], None]
+    unreported: Callable[[], list[UsageSum]]
+    restart: Callable[[], None]
+    apply: Callable[[list[UsageSum], int], None]
 
 
 class ControlLink:
@@ -81,17 +81,17 @@
         self.addresses = addresses
         self.fleet_token = fleet_token
         self.usage = usage
-        self.position = 0
+        self.address_index = 0
         self.connected = False
         self.leader = Address('')
         self.leaving = False
         # What this router learns of upstreams that ended goes out at once.
-        self.beat_now = fleet.quarantine.changed
-        self.told = NOTHING
+        self.beat_requested = fleet.quarantine.changed
+        self.quarantine_position = NOTHING
 
     async def run(self) -> None:
         """Stay connected to the leader; for ever."""
-        pause = _FIRST_PAUSE
+        delay = _MIN_RECONNECT_DELAY_SECONDS
         while True:
             address = self.leader or self._next_address()
             self.leader = Address('')
@@ -100,17 +100,17 @@
             except LinkError as error:
                 logs.info('control link lost', address=address, reason=str(error))
             if self.connected:
-                pause = _FIRST_PAUSE
+                delay = _MIN_RECONNECT_DELAY_SECONDS
             if not self.leader:
                 # Spread out, or a fleet that lost its leader at one moment
                 # would come back to the next one at one moment.
-                await asyncio.sleep(pause * random.uniform(0.5, 1))
-                pause = min(_LONGEST_PAUSE, 2 * pause)
+                await asyncio.sleep(delay * random.uniform(0.5, 1))
+                delay = min(_MAX_RECONNECT_DELAY_SECONDS, 2 * delay)
 
     def announce_leaving(self) -> None:
         """Tell the leader at once that this router is to stop."""
         self.leaving = True
-        self.beat_now.notify()
+        self.beat_requested.notify()
 
     def is_leaving(self) -> bool:
         """Tell whether this router stops or a rule takes it out of service."""
@@ -119,8 +119,8 @@
         return self.fleet.view.box_is_leaving(self.hello.router, self.hello.domain)
 
     def _next_address(self) -> Address:
-        self.position += 1
-        return self.addresses[self.position % len(self.addresses)]
+        self.address_index += 1
+        return self.addresses[self.address_index % len(self.addresses)]
 
     async def _connect(self, address: Address) -> None:
         self.connected = False
@@ -135,10 +135,10 @@
 
     async def _exchange_frames(self, stream: WatchStream) -> None:
         # What was told to another leader may have died with it.
-        self.usage.tell_all()
-        self.told = NOTHING
-        await self._beat(stream, self.hello)
-        beating = asyncio.create_task(self._beat_for_ever(stream))
+        self.usage.restart()
+        self.quarantine_position = NOTHING
+        await self._send_beat(stream, self.hello)
+        beating = asyncio.create_task(self._send_beats(stream))
         try:
             while True:
                 async with asyncio.timeout(_RECEIVE_TIMEOUT_SECONDS):
@@ -150,16 +150,16 @@
                     raise LinkError(f'the leader is {frame.leader_address}')
                 self._handle_frame(frame)
                 if frame.HasField('delta'):
-                    self.beat_now.notify()
+                    self.beat_requested.notify()
         finally:
             beating.cancel()
 
-    async def _beat_for_ever(self, stream: WatchStream) -> None:
+    async def _send_beats(self, stream: WatchStream) -> None:
         while True:
-            await self.beat_now.wait(_BEAT_PERIOD)
-            await self._beat(stream)
+            await self.beat_requested.wait(_BEAT_PERIOD_SECONDS)
+            await self._send_beat(stream)
 
-    async def _beat(
+    async def _send_beat(
         self,
         stream: WatchStream,
         hello: RouterHello | None = None,
@@ -169,16 +169,16 @@
             sequence=self.fleet.lease.next_beat(),
             version=self.fleet.view.version,
             leaving=self.is_leaving(),
-            usage=self.usage.grown(),
+            usage=self.usage.unreported(),
             hello=hello,
         )
-        self._add_news(beat)
+        self._add_quarantine_news(beat)
         self.fleet.traffic.count(_LINK, beat)
         await stream.send_message(beat)
 
-    def _add_news(self, beat: RouterBeat) -> None:
+    def _add_quarantine_news(self, beat: RouterBeat) -> None:
         quarantine = self.fleet.quarantine
-        news, self.told = quarantine.news_since(self.told)
+        news, self.quarantine_position = quarantine.news_since(self.quarantine_position)
         if news.casualties or news.verdicts:
             beat.quarantine.CopyFrom(encode_news(news, quarantine.now()))
 
@@ -193,11 +193,11 @@
         if frame.HasField('directory'):
             self.fleet.directory.update(frame.directory)
         if frame.usage:
-            self.usage.take(list(frame.usage), int(frame.term))
+            self.usage.apply(list(frame.usage), int(frame.term))
         if frame.HasField('quarantine'):
             quarantine = self.fleet.quarantine
             news = decode_news(frame.quarantine, quarantine.now())
             quarantine.take(news, _LINK)
         lease = frame.lease
         if frame.HasField('lease') and self.fleet.view.version >= lease.version:
-            self.fleet.lease.granted(int(lease.sequence), lease.duration_ms / 1000)
+            self.fleet.lease.renew(int(lease.sequence), lease.duration_ms / 1000)
--- a/packages/router/src/hitchdeck_router/fleet/view.py
+++ b/packages/router/src/hitchdeck_router/fleet/view.py
@@ -38,7 +38,7 @@
         self.account_by_key: dict[str, AccountName] = {}
         self.members: dict[PoolName, set[UpstreamName]] = {}
         self.leaving_by_rule: dict[str, set[UpstreamName]] = {}
-        self.access: dict[AccountName, tuple[PoolName, ...]] = {}
+        self.pools_by_account: dict[AccountName, tuple[PoolName, ...]] = {}
 
     def apply(self, delta: Delta) -> bool:
         """Take up a delta; ``False`` if it does not follow this version.
@@ -52,9 +52,9 @@
             self._replace_all(delta)
         else:
             for change in delta.changes:
-                self._change(change)
+                self._apply_change(change)
         self.version = int(delta.version)
-        self.access.clear()
+        self.pools_by_account.clear()
         return True
 
     def is_leaving(self, upstream: UpstreamName) -> bool:
@@ -86,9 +86,9 @@
 
     def reachable_pools(self, account: AccountName) -> tuple[PoolName, ...]:
         """Return the pools that some access rule opens to an account."""
-        if account not in self.access:
-            self.access[account] = tuple(self._pools_open_to(account))
-        return self.access[account]
+        if account not in self.pools_by_account:
+            self.pools_by_account[account] = tuple(self._pools_open_to(account))
+        return self.pools_by_account[account]
 
     def urgency_of(self, labels: dict[str, str]) -> Urgency:
         """Return how soon a request with these labels is needed."""
@@ -147,7 +147,7 @@
             if (kind, name) not in kept:
                 self._remove(kind, name)
 
-    def _change(self, change: ResourceChange) -> None:
+    def _apply_change(self, change: ResourceChange) -> None:
         if change.deleted:
             self._remove(change.kind, change.name)
         else:
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -164,9 +164,9 @@
         section.control,
         settings.fleet_token,
         UsageExchange(
-            grown=context.finder.unreported_usage,
-            tell_all=context.finder.reset_reported_usage,
-            take=context.host.apply_remote_usage,
+            unreported=context.finder.unreported_usage,
+            restart=context.finder.reset_reported_usage,
+            apply=context.host.apply_remote_usage,
         ),
     )
 
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -150,7 +150,7 @@
     assert not lease.is_live()
     number = lease.next_beat()
     clock[0] = 2.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert lease.is_live()
     clock[0] = 2.9
     assert not lease.is_live(), 'the answer took 2 of the 3 seconds'
@@ -160,11 +160,11 @@
     clock = [0.0]
     lease = ConfigurationLease(lambda: clock[0])
     number = lease.next_beat()
-    lease.granted(number + 1, 3.0)
+    lease.renew(number + 1, 3.0)
     assert not lease.is_live()
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     clock[0] = 10.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert not lease.is_live()
 
 
--- a/tests/fuzz/test_lease_fuzz.py
+++ b/tests/fuzz/test_lease_fuzz.py
@@ -41,7 +41,7 @@
         if place < len(self.grants):
             number = self.grants.pop(place)
             if not lost:
-                self.lease.granted(number, LEASE)
+                self.lease.renew(number, LEASE)
 
     @rule(seconds=st.floats(0, 5))
     def time_passes(self, seconds: float) -> None:
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -79,8 +79,8 @@
     Mechanism(
         'lease counted from when it was asked for',
         f'{_ROUTER}/fleet/lease.py',
-        'self.until = max(self.until, sent_at + seconds * _DRIFT_SHARE)',
-        'self.until = self.now() + seconds * _DRIFT_SHARE',
+        'self.expires_at = max(self.expires_at, sent_at + seconds * _DRIFT_FACTOR)',
+        'self.expires_at = self.now() + seconds * _DRIFT_FACTOR',
         'test_lease_counts_from_when_it_was_asked_for',
     ),
     Mechanism(
@@ -93,8 +93,8 @@
     Mechanism(
         'lease checked before dispatch',
         f'{_ROUTER}/fleet/lease.py',
-        'return self.now() < self.until',
-        'return self.until > 0',
+        'return self.now() < self.expires_at',
+        'return self.expires_at > 0',
         'test_routers_cut_off_from_control_stop_and_come_back',
     ),
     Mechanism(
