--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -17,7 +17,7 @@
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_core.settings import load_settings
 from hitchdeck_core.wire.hitchdeck_pb2 import Ticket, UsageSum
-from hitchdeck_router.process import Variation, start_router
+from hitchdeck_router.process import SchedulingOverrides, start_router
 from hitchdeck_router.scheduling.fairness import AccountShare
 from hitchdeck_router.scheduling.holding import Slot
 from hitchdeck_router.scheduling.policy import least_served
@@ -76,9 +76,9 @@
 
 
 VARIATIONS = {
-    'fair': Variation(),
-    'fifo': Variation(rank=first_come),
-    'round-robin': Variation(least_served, RoundRobinFinder),
+    'fair': SchedulingOverrides(),
+    'fifo': SchedulingOverrides(rank=first_come),
+    'round-robin': SchedulingOverrides(least_served, RoundRobinFinder),
 }
 
 
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -33,8 +33,8 @@
 from hitchdeck_router.serving.app import start_http
 
 _INCARNATION_BYTES = 8
-_STOP_POLL = 0.05
-_HANDOVER_SECONDS = 5.0
+_STOP_POLL_SECONDS = 0.05
+_HANDOVER_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(slots=True)
@@ -59,10 +59,10 @@
         self.link.announce_leaving()
         logs.info('leaving', active=self.context.active)
         handover = _wait_until(self._has_handed_over)
-        await _within(handover, _HANDOVER_SECONDS)
+        await _wait_at_most(handover, _HANDOVER_TIMEOUT_SECONDS)
         await asyncio.sleep(settings.address_ttl)
         idle = _wait_until(lambda: not self.context.active)
-        await _within(idle, settings.stop_grace)
+        await _wait_at_most(idle, settings.stop_grace)
 
     async def stop(self) -> None:
         """Stop serving and end every task."""
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Variation:
+class SchedulingOverrides:
     """What an experiment may exchange: whose turn it is, how slots are found."""
 
     rank: Rank = least_served
@@ -90,13 +90,13 @@
 
 async def start_router(
     settings: Settings,
-    variation: Variation | None = None,
+    overrides: SchedulingOverrides | None = None,
 ) -> RouterProcess:
     """Start the router role of a process."""
     section = settings.router
     assert section is not None, 'settings are checked before'
     supervisor = Supervisor('router')
-    context = _make_context(settings, supervisor, variation or Variation())
+    context = _make_context(settings, supervisor, overrides or SchedulingOverrides())
     link = _make_link(settings, context)
     wire = await serve(
         [SchedulerService(context.host)],
@@ -114,7 +114,7 @@
 def _make_context(
     settings: Settings,
     supervisor: Supervisor,
-    variation: Variation,
+    overrides: SchedulingOverrides,
 ) -> RouterContext:
     section = settings.router
     assert section is not None, 'settings are checked before'
@@ -133,14 +133,14 @@
         incarnation=incarnation,
         settings=section,
         fleet=fleet,
-        finder=variation.make_finder(
+        finder=overrides.make_finder(
             fleet,
             settings.box,
             incarnation,
             settings.fleet_token,
             supervisor,
         ),
-        host=SchedulerHost(fleet, incarnation, variation.rank),
+        host=SchedulerHost(fleet, incarnation, overrides.rank),
         ledger=Ledger(client, settings.box, incarnation, supervisor),
         histograms=Histograms(boot_seconds),
         supervisor=supervisor,
@@ -173,10 +173,10 @@
 
 async def _wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
-        await asyncio.sleep(_STOP_POLL)
+        await asyncio.sleep(_STOP_POLL_SECONDS)
 
 
-async def _within(work: Awaitable[None], seconds: float) -> None:
+async def _wait_at_most(work: Awaitable[None], seconds: float) -> None:
     try:
         await asyncio.wait_for(work, seconds)
     except TimeoutError:
--- a/packages/router/src/hitchdeck_router/serving/addresses.py
+++ b/packages/router/src/hitchdeck_router/serving/addresses.py
@@ -10,7 +10,7 @@
 from hitchdeck_core.hashing import ranked
 from hitchdeck_core.ids import AccountName
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterEntry
-from hitchdeck_router.serving.base import Door
+from hitchdeck_router.serving.base import BaseHandler
 
 
 def addresses_for(
@@ -39,7 +39,7 @@
     return chosen
 
 
-class AddressesDoor(Door):
+class AddressesDoor(BaseHandler):
     """Entry addresses for an account."""
 
     async def get(self) -> None:
--- a/packages/router/src/hitchdeck_router/serving/admission.py
+++ b/packages/router/src/hitchdeck_router/serving/admission.py
@@ -23,11 +23,11 @@
 _BAD_REQUEST = 400
 _FORBIDDEN = 403
 _NOT_FOUND = 404
-_LONGEST_KEY = 200
-_LONGEST_DEADLINE = 604_800
+_MAX_KEY_LENGTH = 200
+_MAX_DEADLINE_SECONDS = 604_800
 _UUID_TIME_VERSION = 7
 _UUID_TIME_SHIFT = 80
-_STAMPED_KEY = re.compile(r'(\d{9,11})-[\x21-\x7e]+')
+_TIMESTAMPED_KEY = re.compile(r'(\d{9,11})-[\x21-\x7e]+')
 _MS_PER_SECOND = 1000
 
 
@@ -36,16 +36,16 @@
     try:
         content = json.loads(body)
     except ValueError as error:
-        raise _bad(f'body is not JSON: {error}') from error
+        raise _bad_request(f'body is not JSON: {error}') from error
     if not isinstance(content, dict):
-        raise _bad('body must be a JSON object')
+        raise _bad_request('body must be a JSON object')
     if not isinstance(content.get('model'), str) or not content['model']:
-        raise _bad('"model" must be a non-empty string')
+        raise _bad_request('"model" must be a non-empty string')
     messages = content.get('messages')
     if not isinstance(messages, list) or not messages:
-        raise _bad('"messages" must be a non-empty list')
+        raise _bad_request('"messages" must be a non-empty list')
     if not all(isinstance(message, dict) for message in messages):
-        raise _bad('each message must be an object')
+        raise _bad_request('each message must be an object')
     _check_number_fields(content)
     return content
 
@@ -125,9 +125,13 @@
     try:
         seconds = float(text)
     except ValueError as error:
-        raise _bad(f'{DEADLINE_HEADER} must be seconds, not {text!r}') from error
-    if not 0 < seconds <= _LONGEST_DEADLINE:
-        raise _bad(f'{DEADLINE_HEADER} must be in (0, {_LONGEST_DEADLINE}] s')
+        raise _bad_request(
+            f'{DEADLINE_HEADER} must be seconds, not {text!r}'
+        ) from error
+    if not 0 < seconds <= _MAX_DEADLINE_SECONDS:
+        raise _bad_request(
+            f'{DEADLINE_HEADER} must be in (0, {_MAX_DEADLINE_SECONDS}] s'
+        )
     return seconds
 
 
@@ -141,11 +145,11 @@
     text = headers.get(KEY_HEADER, '')
     if not text:
         return None
-    if len(text) > _LONGEST_KEY:
-        raise _bad(f'{KEY_HEADER} is longer than {_LONGEST_KEY} characters')
+    if len(text) > _MAX_KEY_LENGTH:
+        raise _bad_request(f'{KEY_HEADER} is longer than {_MAX_KEY_LENGTH} characters')
     issued = _issue_time(text)
     if issued is None:
-        raise _bad(
+        raise _bad_request(
             f'{KEY_HEADER} {text!r} is neither a UUID of version 7 nor '
             '<Unix seconds>-<text>',
         )
@@ -153,7 +157,7 @@
 
 
 def _issue_time(text: str) -> float | None:
-    stamped = _STAMPED_KEY.fullmatch(text)
+    stamped = _TIMESTAMPED_KEY.fullmatch(text)
     if stamped:
         return float(stamped.group(1))
     try:
@@ -170,12 +174,12 @@
     for part in filter(None, (part.strip() for part in text.split(','))):
         key, equals, chosen = part.partition('=')
         if not equals:
-            raise _bad(f'{LABELS_HEADER}: {part!r} is not key=value')
+            raise _bad_request(f'{LABELS_HEADER}: {part!r} is not key=value')
         labels[key.strip()] = chosen.strip()
     try:
         check_labels(labels)
     except SelectorError as error:
-        raise _bad(f'{LABELS_HEADER}: {error}') from error
+        raise _bad_request(f'{LABELS_HEADER}: {error}') from error
     return labels
 
 
@@ -185,8 +189,8 @@
         if limit is None:
             continue
         if not isinstance(limit, int) or isinstance(limit, bool) or limit < 1:
-            raise _bad(f'"{name}" must be a positive whole number')
+            raise _bad_request(f'"{name}" must be a positive whole number')
 
 
-def _bad(reason: str) -> NotRunError:
+def _bad_request(reason: str) -> NotRunError:
     return NotRunError(_BAD_REQUEST, 'bad-request', reason)
--- a/packages/router/src/hitchdeck_router/serving/app.py
+++ b/packages/router/src/hitchdeck_router/serving/app.py
@@ -7,17 +7,17 @@
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.errors import NotRunError
 from hitchdeck_router.serving.addresses import AddressesDoor
-from hitchdeck_router.serving.base import Door, log_request
+from hitchdeck_router.serving.base import BaseHandler, log_request
 from hitchdeck_router.serving.chat import ChatDoor
 from hitchdeck_router.serving.services import ServiceDoor
 from hitchdeck_router.serving.status import HealthDoor, MetricsDoor
 
 _NOT_FOUND = 404
-_LARGEST_HEADERS = 65_536
-_LARGEST_BODY = 1024 * 1024 * 1024
+_MAX_HEADER_BYTES = 65_536
+_MAX_BODY_BYTES = 1024 * 1024 * 1024
 
 
-class UnknownDoor(Door):
+class UnknownDoor(BaseHandler):
     """Any other path."""
 
     def prepare(self) -> None:
@@ -43,8 +43,8 @@
     # The doors bound bodies themselves, with an answer that says so.
     server = HTTPServer(
         application,
-        max_header_size=_LARGEST_HEADERS,
-        max_body_size=_LARGEST_BODY,
+        max_header_size=_MAX_HEADER_BYTES,
+        max_body_size=_MAX_BODY_BYTES,
     )
     host, port = split_address(context.settings.listen)
     server.listen(port, host)
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -27,7 +27,7 @@
 _UNAVAILABLE = 503
 _INTERNAL_ERROR = 500
 _ID_BYTES = 12
-_MOST_DISCARDED = 16_777_216
+_MAX_DISCARDED_BYTES = 16_777_216
 """Bytes that are read of a body whose refusal was sent, so that its caller gets to
 the answer: a close with unread bytes resets the connection, and a caller that still
 sends then reads nothing."""
@@ -35,7 +35,7 @@
 
 
 @stream_request_body
-class Door(RequestHandler):
+class BaseHandler(RequestHandler):
     """Base of the handlers.
 
     The body is taken in as it comes, so that one that is too large is
@@ -45,12 +45,12 @@
     def initialize(self, context: RouterContext) -> None:
         """Take the router's context."""
         self.context = context
-        self.received = bytearray()
+        self.body_buffer = bytearray()
         self.too_large = False
         self.discarded = 0
         self.request_id = RequestId(secrets.token_hex(_ID_BYTES))
         self.work: asyncio.Future[None] | None = None
-        self.gone = False
+        self.disconnected = False
         self.account = AccountName('')
         self.admitted: AdmittedRequest | None = None
 
@@ -67,22 +67,22 @@
         if self._headers_written:
             self._discard(chunk)
             return
-        if len(self.received) + len(chunk) > self.context.settings.body_limit:
+        if len(self.body_buffer) + len(chunk) > self.context.settings.body_limit:
             self.too_large = True
             return
-        self.received += chunk
+        self.body_buffer += chunk
 
     def on_connection_close(self) -> None:
         """Stop the work for a caller who went away."""
-        self.gone = True
+        self.disconnected = True
         if self.work is not None:
             self.work.cancel()
 
     def has_disconnected(self) -> bool:
         """Tell whether the caller has closed, by what its socket holds now."""
         connection = self.request.connection
-        if self.gone or not isinstance(connection, HTTP1Connection):
-            return self.gone
+        if self.disconnected or not isinstance(connection, HTTP1Connection):
+            return self.disconnected
         stream = connection.stream
         return stream.closed() or has_ended(stream.socket)
 
@@ -97,12 +97,12 @@
         try:
             await self.work
         except (asyncio.CancelledError, StreamClosedError, CallerDisconnectedError):
-            self.note_outcome('caller-gone')
+            self.record_outcome('caller-gone')
         except RouterError as error:
             self.refuse(error)
         except Exception as error:
             logs.failure('request failed', error, request=self.request_id)
-            self.fail_inside()
+            self.respond_internal_error()
         finally:
             self.context.active -= 1
 
@@ -110,7 +110,7 @@
         """Return the body, or raise ``NotRunError`` if it was too large."""
         if self.too_large:
             raise self._too_large()
-        return bytes(self.received)
+        return bytes(self.body_buffer)
 
     def check_account(self) -> AccountName:
         """Return the account whose key the caller shows.
@@ -143,7 +143,7 @@
 
     def refuse(self, error: RouterError) -> None:
         """Answer with an error, as the API's clients expect it."""
-        self.note_outcome(error.ran)
+        self.record_outcome(error.ran)
         if self._finished:
             return
         content = error_content(error)
@@ -151,16 +151,16 @@
             self.write(b'data: ' + json.dumps(content).encode() + b'\n\n')
             self.finish()
             return
-        self._set_head(error)
+        self._set_error_headers(error)
         self.finish(content)
 
-    def fail_inside(self) -> None:
+    def respond_internal_error(self) -> None:
         """Answer that this router itself failed; it can't say how far."""
         error = RouterError(_INTERNAL_ERROR, 'internal', 'the router failed')
         error.ran = 'unknown'
         self.refuse(error)
 
-    def note_outcome(self, ran: str) -> None:
+    def record_outcome(self, ran: str) -> None:
         """Count how a request ended."""
         self.context.outcomes[type(self).__name__, ran] += 1
 
@@ -177,8 +177,8 @@
 
     def _refuse_early(self, error: RouterError) -> None:
         """Answer now, and end the answer when the whole body has come."""
-        self.note_outcome(error.ran)
-        self._set_head(error)
+        self.record_outcome(error.ran)
+        self._set_error_headers(error)
         content = json.dumps(error_content(error)).encode()
         self.set_header('Content-Type', 'application/json')
         self.set_header('Content-Length', str(len(content)))
@@ -187,10 +187,10 @@
 
     def _discard(self, chunk: bytes) -> None:
         self.discarded += len(chunk)
-        if self.discarded > _MOST_DISCARDED:
+        if self.discarded > _MAX_DISCARDED_BYTES:
             self.request.connection.close()  # type: ignore[union-attr]
 
-    def _set_head(self, error: RouterError) -> None:
+    def _set_error_headers(self, error: RouterError) -> None:
         self.set_status(error.status)
         self.set_header(RAN_HEADER, error.ran)
         if error.retry_after is not None:
@@ -218,7 +218,7 @@
 
 def log_request(handler: RequestHandler) -> None:
     """Log one request as tornado finishes it."""
-    if not isinstance(handler, Door):
+    if not isinstance(handler, BaseHandler):
         return
     logs.info(
         'request',
--- a/packages/router/src/hitchdeck_router/serving/chat.py
+++ b/packages/router/src/hitchdeck_router/serving/chat.py
@@ -16,20 +16,20 @@
 from hitchdeck_router.errors import UpstreamRefusedError
 from hitchdeck_router.scheduling.costs import cost_hint
 from hitchdeck_router.serving import admission
-from hitchdeck_router.serving.base import RAN_HEADER, Door
+from hitchdeck_router.serving.base import RAN_HEADER, BaseHandler
 from hitchdeck_router.serving.replay import check_replayable
 
 _JSON = 'application/json'
 _OK = 200
 
 
-class ChatDoor(Door):
+class ChatDoor(BaseHandler):
     """Chat completions."""
 
     def initialize(self, context: RouterContext) -> None:
         """Take the router's context."""
         super().initialize(context)
-        self.streams = False
+        self.streaming = False
 
     async def post(self) -> None:
         """Serve one request."""
@@ -39,13 +39,13 @@
         account = self.check_account()
         raw = self.check_body()
         body = admission.check_chat_body(raw)
-        self.streams = bool(body.get('stream'))
+        self.streaming = bool(body.get('stream'))
         admitted = self._admit(account, raw, body)
         self.admitted = admitted
         try:
             response = await self._run(admitted, body)
         except UpstreamRefusedError as error:
-            await self._pass_refusal(error)
+            await self._forward_refusal(error)
         except ReplayError as error:
             await self._replay(error.response, body)
         else:
@@ -90,14 +90,16 @@
         body: dict[str, Any],
     ) -> ChatResponse:
         assert admitted.key is not None
-        response = await run_chat(self.context, admitted, body, self._deliver_if_there)
+        response = await run_chat(
+            self.context, admitted, body, self._deliver_if_connected
+        )
         content = json.dumps(response.completion()).encode()
         stored = StoredResponse(RunStatus.ran, _OK, _JSON, content)
         self.context.ledger.settle(admitted, admitted.key, stored)
         return response
 
     async def _deliver(self, chunk: dict[str, Any]) -> None:
-        if not self.streams:
+        if not self.streaming:
             return
         if not self._headers_written:
             self.set_header('Content-Type', 'text/event-stream')
@@ -105,16 +107,16 @@
         self.write(event(json.dumps(chunk).encode()))
         await self.flush()
 
-    async def _deliver_if_there(self, chunk: dict[str, Any]) -> None:
-        if self.gone:
+    async def _deliver_if_connected(self, chunk: dict[str, Any]) -> None:
+        if self.disconnected:
             return
         try:
             await self._deliver(chunk)
         except StreamClosedError:
-            self.gone = True
+            self.disconnected = True
 
     async def _finish(self, response: ChatResponse, body: dict[str, Any]) -> None:
-        self.note_outcome('ran')
+        self.record_outcome('ran')
         if not body.get('stream'):
             self.set_header(RAN_HEADER, 'ran')
             await self.finish(response.completion())
@@ -125,8 +127,8 @@
         self.write(event(DONE))
         await self.finish()
 
-    async def _pass_refusal(self, error: UpstreamRefusedError) -> None:
-        self.note_outcome('refused-by-upstream')
+    async def _forward_refusal(self, error: UpstreamRefusedError) -> None:
+        self.record_outcome('refused-by-upstream')
         self.set_status(error.status)
         self.set_header('Content-Type', _JSON)
         self.set_header(RAN_HEADER, 'ran')
@@ -134,7 +136,7 @@
 
     async def _replay(self, stored: StoredResponse, body: dict[str, Any]) -> None:
         check_replayable(stored)
-        self.note_outcome('replayed')
+        self.record_outcome('replayed')
         self.set_status(stored.status)
         self.set_header(RAN_HEADER, 'ran')
         if not body.get('stream') or stored.status != _OK:
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -21,23 +21,23 @@
 from hitchdeck_router.errors import NotRunError, ResponseTruncatedError
 from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.serving import admission
-from hitchdeck_router.serving.base import RAN_HEADER, Door
+from hitchdeck_router.serving.base import RAN_HEADER, BaseHandler
 from hitchdeck_router.serving.replay import check_replayable
 
 _BAD_REQUEST = 400
-_READS = frozenset(('GET', 'HEAD'))
-_PASSED_REQUEST_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
-_PASSED_ANSWER_HEADERS = (
+_SAFE_METHODS = frozenset(('GET', 'HEAD'))
+_FORWARDED_REQUEST_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
+_FORWARDED_RESPONSE_HEADERS = (
     'Content-Type',
     'Location',
     'ETag',
     'Last-Modified',
     'Retry-After',
 )
-_BODILESS = frozenset((204, 304))
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
-class ServiceDoor(Door):
+class ServiceDoor(BaseHandler):
     """Calls to plain services."""
 
     async def get(self, pool: str, path: str) -> None:
@@ -74,7 +74,7 @@
         except ReplayError as error:
             await self._replay(error.response)
         except ResponseTruncatedError:
-            self._cut()
+            self._abort()
 
     def _admit(self, account: AccountName, pool: PoolName) -> AdmittedRequest:
         view = self.context.fleet.view
@@ -101,14 +101,14 @@
         )
 
     def _repeatable(self, pool: PoolName) -> bool:
-        if self.request.method in _READS:
+        if self.request.method in _SAFE_METHODS:
             return True
         return self.context.fleet.view.pools[pool].repeatable
 
     def _service_request(self, path: str, *, repeatable: bool) -> ServiceRequest:
         headers = {
             name: self.request.headers[name]
-            for name in _PASSED_REQUEST_HEADERS
+            for name in _FORWARDED_REQUEST_HEADERS
             if name in self.request.headers
         }
         query = f'?{self.request.query}' if self.request.query else ''
@@ -126,7 +126,7 @@
         async def deliver_bytes(chunk: bytes) -> None:
             if len(response.body) <= MAX_STORED_RESPONSE_BYTES:
                 response.body += chunk
-            await self._pass_on(chunk, claimed=admitted.key is not None)
+            await self._forward_chunk(chunk, claimed=admitted.key is not None)
 
         await run_service(
             self.context,
@@ -135,7 +135,7 @@
             deliver_head,
             deliver_bytes,
         )
-        self.note_outcome('ran')
+        self.record_outcome('ran')
         if admitted.key is not None:
             stored = StoredResponse(
                 RunStatus.ran,
@@ -144,40 +144,40 @@
                 bytes(response.body),
             )
             self.context.ledger.settle(admitted, admitted.key, stored)
-        if not self.gone:
+        if not self.disconnected:
             await self.finish()
 
     def _copy_head(self, head: ResponseHead) -> None:
         self.set_status(head.status)
         self.set_header(RAN_HEADER, 'ran')
-        for name in _PASSED_ANSWER_HEADERS:
+        for name in _FORWARDED_RESPONSE_HEADERS:
             if name in head.headers:
                 self.set_header(name, head.headers[name])
 
-    async def _pass_on(self, chunk: bytes, *, claimed: bool) -> None:
-        if self.gone:
+    async def _forward_chunk(self, chunk: bytes, *, claimed: bool) -> None:
+        if self.disconnected:
             return
         try:
             self.write(chunk)
             await self.flush()
         except StreamClosedError:
-            self.gone = True
+            self.disconnected = True
             if not claimed:
                 raise
 
     async def _replay(self, stored: StoredResponse) -> None:
         check_replayable(stored)
-        self.note_outcome('replayed')
+        self.record_outcome('replayed')
         self.set_status(stored.status)
         self.set_header(RAN_HEADER, 'ran')
-        if stored.status not in _BODILESS:
+        if stored.status not in _BODILESS_STATUSES:
             self.set_header('Content-Type', stored.content_type)
             self.write(stored.body)
         await self.finish()
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         """Close the connection: a cut answer must not read as a whole one."""
-        self.note_outcome('unknown')
+        self.record_outcome('unknown')
         if self.request.connection is not None:
             self.request.connection.stream.close()  # type: ignore[attr-defined]
 
--- a/packages/router/src/hitchdeck_router/serving/status.py
+++ b/packages/router/src/hitchdeck_router/serving/status.py
@@ -4,14 +4,14 @@
 from collections.abc import Iterator
 
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.serving.base import Door
+from hitchdeck_router.serving.base import BaseHandler
 
 _OK = 200
 _UNAVAILABLE = 503
 _CLASS_LABELS = ('account', 'class')
 
 
-class HealthDoor(Door):
+class HealthDoor(BaseHandler):
     """Whether new callers should come here."""
 
     def get(self) -> None:
@@ -30,7 +30,7 @@
         )
 
 
-class MetricsDoor(Door):
+class MetricsDoor(BaseHandler):
     """Metrics in the Prometheus text format."""
 
     def get(self) -> None:
