--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -18,8 +18,8 @@
 from hitchdeck_core.settings import load_settings
 from hitchdeck_core.wire.hitchdeck_pb2 import Ticket, UsageSum
 from hitchdeck_router.process import SchedulingOverrides, start_router
+from hitchdeck_router.scheduling.client_state import Slot
 from hitchdeck_router.scheduling.fairness import AccountShare
-from hitchdeck_router.scheduling.holding import Slot
 from hitchdeck_router.scheduling.policy import least_served
 from hitchdeck_router.scheduling.queueing import WaitingTicket
 from hitchdeck_router.scheduling.slots import SlotFinder
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -8,10 +8,10 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
+from hitchdeck_router.dispatch.backpressure import check_accepting, check_pool_accepting
 from hitchdeck_router.dispatch.caches import move_cache
-from hitchdeck_router.dispatch.ends import check_for_crash, check_not_quarantined
 from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
-from hitchdeck_router.dispatch.pauses import check_accepting, check_pool_accepting
+from hitchdeck_router.dispatch.quarantine import check_for_crash, check_not_quarantined
 from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import (
     CallerDisconnectedError,
@@ -22,7 +22,7 @@
     UpstreamRefusedError,
     UpstreamUnreachedError,
 )
-from hitchdeck_router.scheduling.holding import Slot
+from hitchdeck_router.scheduling.client_state import Slot
 
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
--- a/packages/router/src/hitchdeck_router/dispatch/caches.py
+++ b/packages/router/src/hitchdeck_router/dispatch/caches.py
@@ -11,8 +11,8 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
+from hitchdeck_router.dispatch.backpressure import apply_backpressure, check_accepting
 from hitchdeck_router.dispatch.calls import CallRequest, open_call
-from hitchdeck_router.dispatch.pauses import apply_backpressure, check_accepting
 from hitchdeck_router.errors import (
     GrantLostError,
     UpstreamError,
--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -14,21 +14,21 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
+from hitchdeck_router.dispatch.backpressure import apply_backpressure
 from hitchdeck_router.dispatch.calls import (
     CallRequest,
     ResponseHead,
     UpstreamCall,
     open_call,
 )
-from hitchdeck_router.dispatch.pauses import apply_backpressure
 from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.dispatch.sse import DONE, EventReader, EventTooLongError
 from hitchdeck_router.errors import (
     UpstreamBrokenError,
     UpstreamRefusedError,
 )
+from hitchdeck_router.scheduling.client_state import Slot
 from hitchdeck_router.scheduling.costs import prompt_cost, run_cost
-from hitchdeck_router.scheduling.holding import Slot
 
 REQUEST_ID_HEADER = 'X-Request-Id'
 SESSION_ID_HEADER = 'X-Session-Id'
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -8,6 +8,7 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
+from hitchdeck_router.dispatch.backpressure import apply_backpressure
 from hitchdeck_router.dispatch.calls import (
     CallRequest,
     ResponseHead,
@@ -15,12 +16,11 @@
     open_call,
 )
 from hitchdeck_router.dispatch.chat import REQUEST_ID_HEADER, check_request_id
-from hitchdeck_router.dispatch.ends import check_for_crash
-from hitchdeck_router.dispatch.pauses import apply_backpressure
+from hitchdeck_router.dispatch.quarantine import check_for_crash
 from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import ResponseTruncatedError, UpstreamBrokenError
+from hitchdeck_router.scheduling.client_state import Slot
 from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
-from hitchdeck_router.scheduling.holding import Slot
 
 
 @dataclass(slots=True)
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -19,8 +19,8 @@
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_core.wire.hitchdeck_pb2 import RouterHello
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.ends import crash_detector_of
 from hitchdeck_router.dispatch.ledger import Ledger
+from hitchdeck_router.dispatch.quarantine import crash_detector_of
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.link import ControlLink, Fleet, UsageExchange
--- a/packages/router/src/hitchdeck_router/scheduling/client.py
+++ b/packages/router/src/hitchdeck_router/scheduling/client.py
@@ -32,7 +32,7 @@
 )
 from hitchdeck_router.errors import NotRunError
 from hitchdeck_router.fleet.link import Fleet
-from hitchdeck_router.scheduling.holding import PendingTicket, Slot, Unsent
+from hitchdeck_router.scheduling.client_state import PendingTicket, Slot, Unsent
 
 _HEARTBEAT_SECONDS = 1.0
 _LINGER_SECONDS = 0.02
--- a/packages/router/src/hitchdeck_router/scheduling/slots.py
+++ b/packages/router/src/hitchdeck_router/scheduling/slots.py
@@ -17,7 +17,7 @@
 from hitchdeck_router.errors import NotRunError
 from hitchdeck_router.fleet.link import Fleet
 from hitchdeck_router.scheduling.client import ShardClient
-from hitchdeck_router.scheduling.holding import PendingTicket, Slot
+from hitchdeck_router.scheduling.client_state import PendingTicket, Slot
 
 _SHARDS_PER_ROUTER = 4
 """How many shards of a pool one router deals with: enough choice to find a
--- a/tests/cover/test_caller_left.py
+++ b/tests/cover/test_caller_left.py
@@ -20,7 +20,7 @@
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
 from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.errors import CallerDisconnectedError
-from hitchdeck_router.scheduling.holding import Slot
+from hitchdeck_router.scheduling.client_state import Slot
 
 
 def admitted_of(has_disconnected: Callable[[], bool]) -> AdmittedRequest:
--- a/tests/cover/test_moving.py
+++ b/tests/cover/test_moving.py
@@ -17,7 +17,7 @@
 from hitchdeck_router.fleet.traffic import Traffic
 from hitchdeck_router.fleet.view import FleetView
 from hitchdeck_router.scheduling.client import ShardClient
-from hitchdeck_router.scheduling.holding import PendingTicket
+from hitchdeck_router.scheduling.client_state import PendingTicket
 from hitchdeck_router.scheduling.slots import SlotFinder
 
 POOL = PoolName('p')
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import AccountName, Incarnation, TicketId, UpstreamName
 from hitchdeck_core.resources import Urgency
 from hitchdeck_core.wire.hitchdeck_pb2 import Ticket
-from hitchdeck_router.scheduling.holding import Slot
+from hitchdeck_router.scheduling.client_state import Slot
 from hitchdeck_router.scheduling.loads import UpstreamLoad
 from hitchdeck_router.scheduling.policy import URGENT_CREDIT, ShardPolicy
 from hitchdeck_router.scheduling.queueing import WaitingTicket
