--- a/packages/router/src/hitchdeck_router/scheduling/__init__.py
+++ b/packages/router/src/hitchdeck_router/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Sharing capacity: the scheduler of a shard, and its clients."""
+"""Fair scheduling of upstream slots: shard schedulers and their clients."""
--- a/packages/router/src/hitchdeck_router/scheduling/capacity.py
+++ b/packages/router/src/hitchdeck_router/scheduling/capacity.py
@@ -1,7 +1,7 @@
-"""Which upstreams of a shard have room, kept up to date as slots come and go.
+"""Free slots of a shard's upstreams, updated incrementally.
 
-A scheduler looks for room at every message it gets, far more often than room
-changes; looking at every upstream each time was most of its processor time.
+A scheduler looks for a free slot on every message, far more often than slots
+change; scanning all upstreams each time took most of its CPU time.
 """
 
 from hitchdeck_core.ids import UpstreamName
@@ -11,14 +11,14 @@
 
 
 class ShardCapacity:
-    """Upstreams by load, and the free slots of those that have any."""
+    """Loads of all upstreams, and the free slots of those that have any."""
 
     def __init__(self) -> None:
         self.loads: Loads = {}
         self.free: dict[UpstreamName, int] = {}
 
     def free_slots(self) -> int:
-        """Return how many more requests the shard could run."""
+        """Return the number of free slots in the shard."""
         return sum(self.free.values())
 
     def set_upstreams(
@@ -27,7 +27,7 @@
         held: dict[UpstreamName, set[TicketKey]],
         now: float,
     ) -> None:
-        """Say which upstreams may get new work, and their slots."""
+        """Set the upstreams that accept new requests, with their slots."""
         for gone in set(self.loads) - set(slots):
             self.loads.pop(gone)
             self.free.pop(gone, None)
@@ -42,7 +42,7 @@
             self.refresh(name, now)
 
     def refresh(self, name: UpstreamName, now: float) -> None:
-        """Look at one upstream again."""
+        """Update the free slots of one upstream."""
         load = self.loads.get(name)
         free_slots = load.free_slots(now) if load else 0
         if free_slots > 0:
@@ -51,7 +51,7 @@
             self.free.pop(name, None)
 
     def refresh_all(self, now: float) -> None:
-        """Look at all again: blocks after failures end with time."""
+        """Update all upstreams: penalties after failures end with time."""
         for name in self.loads:
             self.refresh(name, now)
 
@@ -60,10 +60,10 @@
         preferred: UpstreamName | None,
         avoid: frozenset[UpstreamName],
     ) -> UpstreamName | None:
-        """Return an upstream with room, the preferred one if it has some.
+        """Return an upstream with a free slot, the preferred one if possible.
 
-        Where all upstreams are to be avoided, none is: a ticket that nothing
-        suits would wait for ever.
+        If all upstreams are to be avoided, ``avoid`` is ignored: the ticket
+        would never be granted.
         """
         available = self.free
         if avoid and not avoid >= self.loads.keys():
@@ -81,7 +81,7 @@
         extra: int,
         now: float,
     ) -> UpstreamName | None:
-        """Return an upstream that has room if it may exceed its slots."""
+        """Return an upstream with a free slot if ``extra`` slots are allowed."""
         available = {
             name: load.free_slots(now, extra)
             for name, load in self.loads.items()
--- a/packages/router/src/hitchdeck_router/scheduling/client.py
+++ b/packages/router/src/hitchdeck_router/scheduling/client.py
@@ -1,4 +1,4 @@
-"""A router's side of the schedulers: asking for slots, reporting, releasing."""
+"""Client of a shard's scheduler: requests, reports on and releases slots."""
 
 import asyncio
 from collections import OrderedDict
@@ -51,7 +51,29 @@
 
 
 class ShardClient:
-    """The router's dealings with the scheduler of one shard."""
+    """Connection of a router to the scheduler of one shard.
+
+    Attributes
+    ----------
+    waiting
+        Tickets that have no slot yet.
+    held
+        Granted slots that are in use.
+    sums
+        Cost reported to this shard so far by account, in cost units.
+    places
+        Upstream on which each recent session ran last.
+    unsent
+        Content of the next frame.
+    send_at
+        Time at which the next frame is sent.
+    idle
+        Whether the shard has free slots and no waiting tickets.
+    busy
+        Whether the shard has waiting tickets.
+    serves
+        Whether the shard has any upstream.
+    """
 
     def __init__(
         self,
@@ -77,7 +99,7 @@
         self.serves = True
 
     def submit(self, pending: PendingTicket) -> None:
-        """Ask for a slot."""
+        """Request a slot."""
         pending.client = self
         self.waiting[TicketId(pending.ticket.id)] = pending
         self.unsent.tickets.append(pending.ticket)
@@ -85,16 +107,16 @@
         self._send_within(_LINGER_SECONDS if self.busy and not urgent else 0)
 
     def withdraw(self, ticket: TicketId) -> None:
-        """Take a waiting ticket back."""
+        """Cancel a waiting ticket."""
         if self.waiting.pop(ticket, None) is not None:
             self.unsent.cancelled.append(ticket)
             self._send_within(0)
 
     def report_progress(self, slot: Slot) -> None:
-        """Report a run that has cost far more than was told, or long ago.
+        """Report a run's cost if it greatly exceeds the last report, or periodically.
 
-        The scheduler has charged an estimate; telling it of each token would
-        cost more than it mends.
+        The scheduler has charged an estimate, so that reporting every token
+        would cost more than the added accuracy is worth.
         """
         expected = max(slot.reported_cost, slot.ticket.cost_hint)
         now = self.fleet.now()
@@ -106,7 +128,7 @@
         self._send_within(_LONG_LINGER_SECONDS)
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
-        """Give a slot back."""
+        """Release a slot and report its final cost."""
         if self.held.pop(TicketId(slot.ticket.id), None) is None:
             return
         report = self._report(slot)
@@ -116,7 +138,7 @@
         self._send_within(0 if self.busy else _LONG_LINGER_SECONDS)
 
     async def run(self) -> None:
-        """Attend whichever router schedules the shard; for ever."""
+        """Stay connected to the router that schedules the shard; never returns."""
         while True:
             entry = self.fleet.directory.shards.get(self.shard)
             if entry is None:
@@ -149,9 +171,9 @@
                 async with asyncio.timeout(_RECEIVE_TIMEOUT_SECONDS):
                     frame = await stream.recv_message()
                 if frame is None or frame.not_owner:
-                    raise LinkError('it schedules the shard no more')
+                    raise LinkError('the router no longer schedules the shard')
                 self._handle_frame(frame)
-            raise LinkError('the duty has moved')
+            raise LinkError('the shard was assigned to another router')
         finally:
             sending.cancel()
 
@@ -160,7 +182,7 @@
         return present is not None and present.epoch == entry.epoch
 
     def _opening_frame(self, entry: ShardEntry) -> RouterFrame:
-        """Return the first frame: all that is held, waits, and was spent."""
+        """Return the first frame: held slots, waiting tickets and reported usage."""
         self.unsent = Unsent()
         now = self.fleet.now()
         for pending in self.waiting.values():
@@ -191,7 +213,7 @@
         )
 
     async def _send(self, stream: AttendStream, entry: ShardEntry) -> None:
-        """Send whatever there is when it is due; a heartbeat otherwise."""
+        """Send unsent content when it is due, and a heartbeat otherwise."""
         self.send_at = self.fleet.now() + _HEARTBEAT_SECONDS
         while self._is_current(entry):
             left = self.send_at - self.fleet.now()
@@ -208,11 +230,11 @@
             await self._send_frame(stream, frame)
 
     def _send_within(self, seconds: float) -> None:
-        """See to it that what is unsent goes out within some seconds.
+        """Send the unsent content within the given time.
 
-        A frame costs the same with one item or ten.  Where nobody waits for
-        a slot, a free one may be given back late; where many wait, another
-        ticket at the end of the queue may come late.
+        A frame costs about the same with one entry or ten, so entries that
+        are not urgent are batched: releases while no ticket waits, and
+        tickets that would join the end of a long queue.
         """
         send_at = self.fleet.now() + seconds
         if send_at < self.send_at:
@@ -228,10 +250,10 @@
         )
 
     def _mark_reported(self, slot: Slot) -> None:
-        """Count as told what a slot has cost by now.
+        """Mark the present cost of a slot as reported.
 
-        The sums grow by what is told and no sooner, so that they and the
-        reports always add up to the same.
+        The sums grow only by reported cost, so that they always equal the
+        total of the reports.
         """
         increase = round(slot.cost) - slot.reported_cost
         slot.reported_cost += increase
@@ -258,7 +280,7 @@
         ticket = TicketId(grant.id)
         pending = self.waiting.pop(ticket, None)
         if pending is None or pending.granted.done():
-            # Withdrawn meanwhile: the slot goes back unused.
+            # The ticket was cancelled before the grant arrived.
             report = CostReport(id=grant.id, released=True)
             self.unsent.reports.append(report)
             self._send_within(0)
--- a/packages/router/src/hitchdeck_router/scheduling/client_state.py
+++ b/packages/router/src/hitchdeck_router/scheduling/client_state.py
@@ -1,4 +1,4 @@
-"""What a router holds of schedulers: waiting tickets and granted slots."""
+"""Client-side state of tickets and slots."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 @dataclass(slots=True)
 class PendingTicket:
-    """A ticket of this router that waits for its grant.
+    """A ticket of this router that has not been granted a slot.
 
-    ``client`` is where it waits now; it may be moved to another shard.
+    ``client`` is the shard client at which it waits, which changes when the
+    ticket is moved to another shard.  ``since`` is the submission time.
     """
 
     ticket: Ticket
@@ -28,10 +29,12 @@
 
 @dataclass(slots=True)
 class Slot:
-    """A slot that this router holds.
+    """A slot that was granted to this router.
 
-    ``cost`` is what its run has cost, of which the scheduler has been told
-    ``reported_cost`` at ``reported_at``.
+    ``cost`` is the cost of the run so far, in cost units, of which
+    ``reported_cost`` was reported to the scheduler at ``reported_at``.
+    ``moved_from`` is the upstream on which the session ran last, if that is
+    another one.
     """
 
     ticket: Ticket
@@ -45,24 +48,24 @@
     gap_count: int = 0
 
     def release(self, *, failed: bool = False) -> None:
-        """Give the slot back; more than once does no harm."""
+        """Release the slot; idempotent."""
         self.client.release(self, failed=failed)
 
     def record_cost(self, cost: float) -> None:
-        """Note what the run has cost so far, in all."""
+        """Record the total cost of the run so far."""
         self.cost = max(self.cost, cost)
         self.client.report_progress(self)
 
     def record_gap(self, seconds: float) -> None:
-        """Note a time between tokens."""
+        """Record the time between two tokens."""
         self.gap_total += seconds
         self.gap_count += 1
 
     def pop_mean_gap(self) -> float:
-        """Return the mean time between tokens since this was last asked.
+        """Return and reset the mean time between tokens, in seconds.
 
-        The mean, not the worst: one late token on a busy box would take
-        slots from an upstream that is well within its target.
+        The mean is used, not the maximum: one late token on a busy box would
+        reduce the limit of an upstream that is well within its target.
         """
         mean = self.gap_total / max(1, self.gap_count)
         self.gap_total = 0.0
@@ -71,18 +74,18 @@
 
 
 class SlotOwner(Protocol):
-    """Whoever a slot goes back to."""
+    """The component that a slot is released to."""
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
-        """Take a slot back."""
+        """Release a slot."""
 
     def report_progress(self, slot: Slot) -> None:
-        """Hear that a slot's run has cost more."""
+        """Handle an increase in the cost of a slot's run."""
 
 
 @dataclass(slots=True)
 class Unsent:
-    """What the next frame to the scheduler will carry."""
+    """Content of the next frame to the scheduler."""
 
     tickets: list[Ticket] = field(default_factory=list)
     reports: list[CostReport] = field(default_factory=list)
--- a/packages/router/src/hitchdeck_router/scheduling/fairness.py
+++ b/packages/router/src/hitchdeck_router/scheduling/fairness.py
@@ -1,17 +1,18 @@
-"""Whose turn it is: virtual counters of weighted service.
-
-After Sheng et al., "Fairness in Serving Large Language Models" (OSDI 2024):
-the backlogged account with the least weighted service is served next, and an
-account that becomes backlogged is lifted to the floor of those that are, so
-that idle time earns no credit.  What differs here:
-
-- Service is counted over the whole fleet.  What other shards serve comes
-  through the control group, late, as growth of sums that never go down.
-- A grant is charged an estimate, which gives way to the actual cost as the
-  router reports it.  Estimates stay in ``pending``, apart from ``service``,
-  so that no sum has to go down when an estimate was too high.
-- Debt is capped.  An account may use idle capacity elsewhere without limit;
-  without the cap, it would wait here for as long as that took.
+"""Virtual token counters for weighted fair sharing between client accounts.
+
+Based on Sheng et al., "Fairness in Serving Large Language Models" (OSDI 2024):
+the backlogged account with the least weighted service is served next, and the
+counter of an account that becomes backlogged is lifted to the minimum over the
+backlogged accounts, so that idle time earns no credit.  Differences:
+
+- Service is counted over the whole fleet.  The service of other shards arrives
+  late through the control group, as increases of monotonic sums.
+- A grant is charged an estimate, which is replaced by the actual cost as the
+  router reports it.  Estimates are kept in ``pending``, apart from ``service``,
+  so that no sum decreases when an estimate was too high.
+- Debt is capped.  An account may use idle capacity of other shards without
+  limit; without the cap, it would then be starved here for an equally long
+  time.
 """
 
 from dataclasses import dataclass
@@ -19,15 +20,29 @@
 from hitchdeck_core.ids import AccountName
 
 _MEAN_COST_SMOOTHING = 0.8
-"""Weight of the past in an account's running mean of cost."""
+"""Weight of the previous mean in an account's moving average of cost."""
 
 _MAX_HINT_FACTOR = 4.0
-"""How far a caller's hint may move the estimate from the mean, either way."""
+"""Factor by which a cost hint may differ from the mean before it is clamped."""
 
 
 @dataclass(slots=True)
 class AccountShare:
-    """Service of one account as one scheduler life sees it, in cost units."""
+    """Service of one account in one scheduler incarnation, in cost units.
+
+    Attributes
+    ----------
+    service
+        Actual cost served, in all shards.
+    pending
+        Estimated cost of granted slots that is not yet reported.
+    lift
+        Weighted cost added on activation.
+    mean_cost
+        Moving average of the cost of a request, ``None`` before the first.
+    seen
+        Whether the account was backlogged before.
+    """
 
     weight: float = 1.0
     service: float = 0.0
@@ -37,18 +52,20 @@
     seen: bool = False
 
     def virtual_service(self) -> float:
-        """Return the weighted service, the lift included."""
+        """Return the virtual counter: weighted service plus lift."""
         return self.lift + (self.service + self.pending) / self.weight
 
 
 class FairShare:
-    """Shares of all accounts that this scheduler life has met.
+    """Shares of all accounts known to this scheduler incarnation.
 
     Attributes
     ----------
     debt_cap
-        Most weighted cost by which an account may stand above the floor when
-        it becomes backlogged.
+        Maximum weighted cost by which the counter of an account may exceed
+        the floor when it becomes backlogged.
+    floor
+        Highest minimum of the backlogged counters so far.
     """
 
     def __init__(self, debt_cap: float) -> None:
@@ -57,7 +74,7 @@
         self.floor = 0.0
 
     def share_of(self, account: AccountName) -> AccountShare:
-        """Return an account's share, made on first use."""
+        """Return the share of an account, created on first use."""
         return self.shares.setdefault(account, AccountShare())
 
     def activate(
@@ -66,11 +83,12 @@
         weight: float,
         backlogged: list[AccountName],
     ) -> None:
-        """Lift an account that becomes backlogged to the floor.
+        """Lift the counter of an account that becomes backlogged to the floor.
 
-        A scheduler that has just taken over knows no lifts.  Whoever it
-        meets first therefore starts level with the rest: differences within
-        the bound are forgotten, rather than all of history being made up.
+        A new scheduler incarnation has no record of earlier lifts.  An account
+        that it sees for the first time therefore starts at the floor: this
+        drops differences within the fairness bound, where the alternative
+        would be to compensate for the whole history.
         """
         share = self.share_of(account)
         share.weight = weight
@@ -85,7 +103,7 @@
         share.seen = True
 
     def estimate(self, account: AccountName, hint: float) -> float:
-        """Return what to charge a grant: the mean cost, moved by the hint."""
+        """Return the cost to charge for a grant: the average of mean and hint."""
         mean = self.share_of(account).mean_cost
         if mean is None:
             return hint
@@ -93,22 +111,22 @@
         return (mean + min(high, max(low, hint))) / 2
 
     def charge_estimate(self, account: AccountName, estimate: float) -> None:
-        """Charge a grant's estimate."""
+        """Charge the estimated cost of a grant."""
         share = self.share_of(account)
         share.pending += estimate
         self.floor = max(self.floor, share.virtual_service() - estimate / share.weight)
 
     def settle_estimate(self, account: AccountName, used: float) -> None:
-        """Drop a part of an estimate: it was used up, or was too high."""
+        """Remove a part of an estimate that was reported, or was too high."""
         share = self.share_of(account)
         share.pending = max(0.0, share.pending - used)
 
     def add_service(self, account: AccountName, cost: float) -> None:
-        """Count actual cost, run here or in another shard."""
+        """Add actual cost, from this shard or another."""
         self.share_of(account).service += cost
 
     def update_mean_cost(self, account: AccountName, cost: float) -> None:
-        """Take a finished request into the account's mean cost."""
+        """Update the mean cost of an account with a finished request."""
         share = self.share_of(account)
         if share.mean_cost is None:
             share.mean_cost = cost
--- a/packages/router/src/hitchdeck_router/scheduling/host.py
+++ b/packages/router/src/hitchdeck_router/scheduling/host.py
@@ -1,4 +1,4 @@
-"""The shards that this router schedules: taking duties up and laying them down."""
+"""Shards scheduled by this router: assignment, grants and expiry."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -28,11 +28,11 @@
 from hitchdeck_router.scheduling.shard import ShardScheduler
 
 REBUILD_SECONDS = 0.5
-"""How long a new scheduler listens before it grants: routers re-send what
-they hold within a directory push and a connection."""
+"""Time for which a new scheduler rebuilds its state before it grants slots.  Routers
+re-send their held slots after a directory update and a connection."""
 
 SLOT_LEASE_SECONDS = 3.0
-"""Seconds after its last word for which a router's slots count as held."""
+"""Time after a router's last frame for which its slots count as held."""
 
 _MAINTENANCE_PERIOD_SECONDS = 0.1
 _IDLE_PERIOD_SECONDS = 1.0
@@ -44,7 +44,19 @@
 
 @dataclass(slots=True)
 class RouterPeer:
-    """A router life that attends a shard; seconds on this box's clock."""
+    """A router incarnation that is connected to a shard.
+
+    Attributes
+    ----------
+    heard_at
+        Time of the last frame, in seconds on this box's clock.
+    outbox
+        Frames to send, ``None`` while there is no usable stream.
+    sums
+        Cost counted so far from the router's reports, by account.
+    has_baseline
+        Whether ``sums`` covers the router's history before its first frame.
+    """
 
     incarnation: Incarnation
     heard_at: float
@@ -55,7 +67,18 @@
 
 @dataclass(slots=True)
 class HostedShard:
-    """A shard under one epoch of this router's duty."""
+    """A shard that is assigned to this router, under one epoch.
+
+    Attributes
+    ----------
+    grants_from
+        Time at which the rebuild ends and granting starts.
+    advertised
+        Whether the shard has free slots, waiting tickets and upstreams, as
+        routers were last notified.
+    remote_usage
+        Cost served in other shards, by account, in the leader's ``term``.
+    """
 
     shard: ShardId
     epoch: int
@@ -70,7 +93,7 @@
 
 
 class SchedulerHost:
-    """All shards hosted by one router."""
+    """All shards that are scheduled by one router."""
 
     def __init__(
         self,
@@ -85,7 +108,7 @@
         self.applied_version = -1
 
     async def maintain(self) -> None:
-        """Follow the directory, lapse the dead, grant; for ever."""
+        """Apply updates, expire silent routers and grant slots; never returns."""
         while True:
             period = (
                 _MAINTENANCE_PERIOD_SECONDS if self.shards else _IDLE_PERIOD_SECONDS
@@ -100,7 +123,7 @@
                 self.grant_and_advertise(hosted)
 
     def apply_directory(self) -> None:
-        """Start and stop shards as the leader assigns them."""
+        """Start and stop shards according to the leader's assignment."""
         mine = {
             shard: entry
             for shard, entry in self.fleet.directory.shards.items()
@@ -115,7 +138,7 @@
                 self._start_shard(shard, entry)
 
     def apply_configuration(self) -> None:
-        """Take up upstreams, slots and limits of a new version."""
+        """Apply the upstreams, slots and limits of a new configuration version."""
         if self.applied_version == self.fleet.view.version:
             return
         self.applied_version = self.fleet.view.version
@@ -129,10 +152,10 @@
             hosted.scheduler.set_upstreams(slots, self.fleet.now())
 
     def grant_and_advertise(self, hosted: HostedShard) -> None:
-        """Grant whatever can be granted, and tell routers how things stand.
+        """Grant slots where possible and notify routers of the shard's state.
 
-        Nothing is granted without a live configuration lease: this router
-        may have been cut off, and another may hold the duty by now.
+        Granting requires a live configuration lease: without it, this router
+        may be partitioned and the shard assigned to another router.
         """
         now = self.fleet.now()
         if now >= hosted.grants_from and self.fleet.lease.is_live():
@@ -155,7 +178,7 @@
         reason: str,
         retry_after: float,
     ) -> None:
-        """Tell a router that a ticket gets no slot."""
+        """Notify a router that a ticket is refused."""
         refusal = Refusal(
             id=ticket,
             reason=reason,
@@ -164,10 +187,10 @@
         self._send_frame(hosted, peer, SchedulerFrame(refusals=[refusal]))
 
     def apply_remote_usage(self, sums: Iterable[UsageSum], term: int) -> None:
-        """Count what other shards have served, as the leader sums it up.
+        """Add the service of other shards, from the leader's sums.
 
-        A new leader's sums lack what routers told only the old one, so its
-        first word per account sets where growth is measured from.
+        The sums of a new leader lack reports that only the previous one
+        received, so its first sum for each account is taken as the baseline.
         """
         for one in sums:
             hosted = self.shards.get(ShardId(one.shard))
@@ -188,11 +211,12 @@
         peer: RouterPeer,
         sums: Iterable[UsageSum],
     ) -> None:
-        """Reconcile a router's sums with what its reports added up to.
+        """Reconcile a router's cost sums with the reports that arrived.
 
-        They differ by what a broken link lost.  A router that attends this
-        scheduler life for the first time brings history that its earlier
-        schedulers have counted: that is where counting starts.
+        The difference is the reports that were lost with a broken connection.
+        On the first connection of a router to this scheduler incarnation, the
+        sums include cost that earlier schedulers have counted; they are taken
+        as the baseline.
         """
         for one in sums:
             account = AccountName(one.account)
@@ -214,14 +238,14 @@
             scheduler=scheduler,
             measured_at=now,
         )
-        logs.info('schedules', shard=shard, epoch=entry.epoch)
+        logs.info('scheduler started', shard=shard, epoch=entry.epoch)
 
     def _stop_shard(self, hosted: HostedShard) -> None:
         self.shards.pop(hosted.shard)
         frame = SchedulerFrame(not_owner=True, epoch=hosted.epoch)
         for peer in hosted.peers.values():
             self._send_frame(hosted, peer, frame)
-        logs.info('schedules no more', shard=hosted.shard, epoch=hosted.epoch)
+        logs.info('scheduler stopped', shard=hosted.shard, epoch=hosted.epoch)
 
     def _policy(self, pool: Pool) -> ShardPolicy:
         accounts = self.fleet.view.accounts
@@ -252,7 +276,7 @@
                 hosted.peers.pop(incarnation)
                 hosted.scheduler.drop_router(incarnation, now)
                 logs.warning(
-                    'slots of a silent router lapse',
+                    'slots of a silent router expired',
                     shard=hosted.shard,
                     incarnation=incarnation,
                 )
@@ -274,7 +298,11 @@
             peer.outbox.put(frame)
         except LinkError as error:
             peer.outbox = None
-            logs.warning('router too slow', shard=hosted.shard, reason=str(error))
+            logs.warning(
+                'router does not keep up with the scheduler',
+                shard=hosted.shard,
+                reason=str(error),
+            )
 
     def _update_counters(self, hosted: HostedShard, now: float) -> None:
         elapsed, hosted.measured_at = now - hosted.measured_at, now
@@ -286,11 +314,11 @@
             counters.idle_while_waiting += elapsed
 
     def _advertise(self, hosted: HostedShard, now: float) -> None:
-        """Tell routers when the shard becomes idle or busy.
+        """Notify routers when the shard becomes idle or busy.
 
-        Only changes of kind are sent, not counts: a count would be stale on
-        arrival, and routers only need to know where work could go at once.
-        Now and then the same is said again, as the scheduler's heartbeat.
+        Only changes of state are sent, not of counts: a count would be stale
+        on arrival, and routers only need to know where a request could start
+        at once.  The state is repeated periodically as a heartbeat.
         """
         free = hosted.scheduler.capacity.free_slots()
         waiting = len(hosted.scheduler.tickets)
@@ -311,7 +339,7 @@
 
 
 def belongs_to(upstream: Upstream, shard: ShardId, pool: Pool) -> bool:
-    """Tell whether an upstream is in a shard: one of its pool's, by hash."""
+    """Return whether an upstream of the pool is hashed to a shard."""
     if pool.shards == 1:
         return True
     numbers = (str(number) for number in range(pool.shards))
--- a/packages/router/src/hitchdeck_router/scheduling/loads.py
+++ b/packages/router/src/hitchdeck_router/scheduling/loads.py
@@ -1,4 +1,4 @@
-"""Upstreams of a shard: slots, learned limits, failures."""
+"""Load of upstreams: slots, adaptive concurrency limits and failure penalties."""
 
 from dataclasses import dataclass, field
 
@@ -6,7 +6,7 @@
 from hitchdeck_router.scheduling.queueing import TicketKey
 
 TOKEN_GAP_TARGET_SECONDS = 0.07
-"""Seconds between tokens that callers are promised."""
+"""Time between tokens that is promised to callers."""
 
 _INCREASE_THRESHOLD = 0.85
 _DECREASE_FACTOR = 0.9
@@ -19,11 +19,23 @@
 
 @dataclass(slots=True)
 class UpstreamLoad:
-    """One upstream; times in seconds on the scheduler's clock.
+    """Load of one upstream; times in seconds on the scheduler's clock.
 
-    ``limit`` is the concurrency learned from token gaps: it falls by a
-    tenth while they are over target and creeps up to ``slots`` while they
-    are well under it.  The engines' own load reports lag too much for that.
+    ``limit`` is an adaptive concurrency limit (additive increase,
+    multiplicative decrease): it falls by a tenth while token gaps are above
+    the target, and rises towards ``slots`` while they are well below it.  The
+    load reports of engines lag too much to be used for this.
+
+    Attributes
+    ----------
+    held
+        Tickets with a slot on this upstream.
+    token_gap
+        Smoothed time between tokens, 0 before the first report.
+    blocked_until
+        End of the penalty after a failure.
+    penalty
+        Duration of the last penalty, 0 if the last request succeeded.
     """
 
     slots: int
@@ -35,14 +47,18 @@
     penalty: float = 0.0
 
     def free_slots(self, now: float, extra: int = 0) -> int:
-        """Return how many more requests may go there, negative if over."""
+        """Return the number of free slots, negative if there are too many requests.
+
+        ``extra`` slots are added to the limit.  After a failure, only one
+        request at a time is allowed until one succeeds.
+        """
         if now < self.blocked_until:
             return 0
         allowed = 1 if self.penalty else max(1, int(self.limit)) + extra
         return allowed - len(self.held)
 
     def observe_gap(self, gap: float, now: float) -> None:
-        """Learn from a reported time between tokens."""
+        """Adjust the limit to a reported time between tokens."""
         if gap <= 0:
             return
         if not self.token_gap:
@@ -57,14 +73,14 @@
             self.limit = min(float(self.slots), self.limit + _INCREASE_STEP)
 
     def record_failure(self, now: float) -> None:
-        """Keep new work away for a while, longer each time."""
+        """Block new requests for an exponentially growing penalty."""
         self.penalty = min(
             _MAX_PENALTY_SECONDS, 2 * self.penalty or _FIRST_PENALTY_SECONDS
         )
         self.blocked_until = now + self.penalty
 
     def record_success(self) -> None:
-        """Forget failures: it serves."""
+        """Reset the penalty."""
         self.penalty = 0.0
 
 
--- a/packages/router/src/hitchdeck_router/scheduling/placement.py
+++ b/packages/router/src/hitchdeck_router/scheduling/placement.py
@@ -1,7 +1,7 @@
-"""Which upstream a ticket goes to: where its cache is, unless that is full.
+"""Cache-aware choice of an upstream.
 
-The record is the scheduler's own: what it sent where.  Engines' cache events
-come late and with gaps; they may add to it or take from it, as hints.
+The index records where the scheduler itself sent requests.  Cache events of
+engines arrive late and incompletely; they may add or remove entries as hints.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 
 
 class CacheIndex:
-    """Prefix blocks and sessions by the upstream that last had them."""
+    """Maps prompt prefix blocks and sessions to the upstream that last served them."""
 
     def __init__(self, max_entries: int = _MAX_ENTRIES) -> None:
         self.max_entries = max_entries
@@ -40,7 +40,7 @@
             self.sessions.popitem(last=False)
 
     def forget(self, upstream: UpstreamName, blocks: Iterable[int]) -> None:
-        """Drop blocks that an upstream says it has evicted."""
+        """Remove blocks that an upstream reports as evicted."""
         for block in blocks:
             if self.blocks.get(block) == upstream:
                 self.blocks.pop(block)
@@ -59,10 +59,10 @@
     available: Mapping[UpstreamName, int],
     preferred: UpstreamName | None,
 ) -> UpstreamName | None:
-    """Return the preferred upstream if it has room, else the emptiest.
+    """Return the preferred upstream if it has a free slot, else the least loaded.
 
-    A full holder is not waited for: a prompt that is computed again costs
-    less than a slot that stays free meanwhile.
+    A request does not wait for a full upstream that has its cache: computing
+    the prompt again costs less than leaving a slot idle.
     """
     if preferred is not None and available.get(preferred, 0) > 0:
         return preferred
--- a/packages/router/src/hitchdeck_router/scheduling/policy.py
+++ b/packages/router/src/hitchdeck_router/scheduling/policy.py
@@ -1,4 +1,4 @@
-"""Whose turn it is, as a function, and what a pool says about its queues."""
+"""Ranking of tickets and the scheduling policy of a pool."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 from hitchdeck_router.scheduling.queueing import WaitingTicket
 
 URGENT_CREDIT = 4_000.0
-"""Weighted cost by which urgent work may go before other accounts' work."""
+"""Weighted cost by which urgent requests may precede those of other accounts."""
 
 Rank = Callable[[AccountShare, WaitingTicket, float], float]
-"""From an account's share, its next ticket and the time: lowest is served."""
+"""Maps an account's share, its next ticket and the time to a rank; lowest first."""
 
 
 def least_served(share: AccountShare, head: WaitingTicket, now: float) -> float:
-    """Rank by weighted service; urgent work may borrow a bounded credit."""
+    """Rank by weighted service, less a bounded credit for urgent tickets."""
     if head.urgency_at(now) is Urgency.urgent:
         return share.virtual_service() - URGENT_CREDIT
     return share.virtual_service()
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ShardPolicy:
-    """What the pool's definition says about scheduling, and whose turn it is."""
+    """Scheduling parameters of a pool, and the ranking function."""
 
     queue_limit: int
     urgent_overcommit: int
--- a/packages/router/src/hitchdeck_router/scheduling/queueing.py
+++ b/packages/router/src/hitchdeck_router/scheduling/queueing.py
@@ -1,4 +1,4 @@
-"""Waiting tickets of one account: urgency first, then the nearest deadline."""
+"""Per-account queue of tickets, ordered by urgency, then by deadline."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -7,17 +7,26 @@
 from hitchdeck_core.resources import Urgency
 
 TicketKey = tuple[Incarnation, TicketId]
-"""A ticket's identity in a shard: the router life and its number there."""
+"""Identifies a ticket in a shard: router incarnation and ticket number."""
 
 _ESCALATION_SECONDS = 30.0
-"""Seconds before its deadline at which any ticket becomes urgent."""
+"""Time before its deadline at which any ticket becomes urgent."""
 
 
 @dataclass(slots=True)
 class WaitingTicket:
-    """A ticket that waits; times on the scheduler's clock, in seconds.
-
-    ``deadline`` is infinite for a request without one.
+    """A waiting ticket; times in seconds on the scheduler's clock.
+
+    Attributes
+    ----------
+    deadline
+        Infinite for a request without a deadline.
+    hint
+        Estimated cost, in cost units.
+    prefix
+        Hashes of growing prefixes of the prompt.
+    avoid
+        Upstreams that this request should not go to.
     """
 
     key: TicketKey
@@ -33,11 +42,11 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The router life that waits for the grant."""
+        """Incarnation of the router that submitted the ticket."""
         return self.key[0]
 
     def urgency_at(self, now: float) -> Urgency:
-        """Return the urgency, which rises as the deadline comes near."""
+        """Return the urgency, which is raised shortly before the deadline."""
         if self.deadline - now < _ESCALATION_SECONDS:
             return Urgency.urgent
         return self.urgency
@@ -45,9 +54,9 @@
 
 @dataclass(slots=True)
 class AccountQueue:
-    """One account's tickets: a heap for each urgency.
+    """Tickets of one account, in a heap for each urgency.
 
-    Cancelled tickets stay in their heap, marked, until they surface.
+    Cancelled tickets are only marked, and removed when they reach the top.
     """
 
     heaps: dict[Urgency, list[tuple[float, float, TicketKey, WaitingTicket]]] = field(
@@ -62,7 +71,7 @@
         self.length += 1
 
     def head(self, now: float) -> WaitingTicket | None:
-        """Return the ticket to serve next."""
+        """Return the next ticket to serve, ``None`` if the queue is empty."""
         heads = [
             ticket for urgency in Urgency if (ticket := self._top(urgency)) is not None
         ]
@@ -73,12 +82,12 @@
         )
 
     def oldest_since(self) -> float:
-        """Return since when the oldest head waits, infinite if none does."""
+        """Return the earliest arrival among the heaps' heads, infinite if empty."""
         tops = (self._top(urgency) for urgency in Urgency)
         return min((one.since for one in tops if one), default=float('inf'))
 
     def remove(self, ticket: WaitingTicket) -> None:
-        """Take a ticket out, wherever it stands."""
+        """Mark a ticket as cancelled."""
         if not ticket.cancelled:
             ticket.cancelled = True
             self.length -= 1
--- a/packages/router/src/hitchdeck_router/scheduling/service.py
+++ b/packages/router/src/hitchdeck_router/scheduling/service.py
@@ -1,4 +1,4 @@
-"""The ``Scheduler`` calls: one task for each router that attends a shard."""
+"""The ``Scheduler`` service: one task for each router connected to a shard."""
 
 import asyncio
 
@@ -37,13 +37,13 @@
 
 
 class SchedulerService(SchedulerBase):
-    """Serves routers that attend the shards of a host."""
+    """Serves the routers that are connected to the shards of a host."""
 
     def __init__(self, host: SchedulerHost) -> None:
         self.host = host
 
     async def Attend(self, stream: AttendStream) -> None:
-        """Serve one router until its stream or the duty ends."""
+        """Serve one router until the stream closes or its registration is replaced."""
         first = await stream.recv_message()
         if first is None:
             return
@@ -65,15 +65,15 @@
 
     def _attach(self, hosted: HostedShard, first: RouterFrame) -> RouterPeer:
         incarnation = Incarnation(first.incarnation)
-        # A fresh record each time: the task of an earlier stream, should it
-        # still read from a half-open connection, sees that it was replaced.
+        # A new object for each stream lets the task of an earlier, half-open
+        # connection detect that it was replaced.
         peer = RouterPeer(incarnation, self.host.fleet.now())
         earlier = hosted.peers.get(incarnation)
         if earlier is not None:
             peer.sums = earlier.sums
             peer.has_baseline = earlier.has_baseline
         hosted.peers[incarnation] = peer
-        # Whatever it still waits for, a router that connects anew re-sends.
+        # A router re-sends its waiting tickets when it reconnects.
         resent = {(incarnation, TicketId(held.ticket.id)) for held in first.held}
         hosted.scheduler.keep_only(incarnation, resent, self.host.fleet.now())
         hosted.advertised = None
@@ -90,8 +90,8 @@
         while frame is not None:
             self.host.fleet.traffic.count(_LINK, frame)
             peer.heard_at = self.host.fleet.now()
-            # Slots that lapsed while this router was silent are its no more;
-            # it must attach anew and say what it still holds.
+            # The slots of a router that was silent too long have expired; it
+            # has to reconnect and re-send those that it still holds.
             if hosted.peers.get(peer.incarnation) is not peer:
                 return
             self._handle_frame(hosted, peer, frame)
@@ -155,7 +155,7 @@
         peer: RouterPeer,
         held: HeldGrant,
     ) -> None:
-        """Take over a slot that the router was granted before this epoch."""
+        """Take over a slot that was granted in an earlier epoch."""
         slot = HeldSlot(
             AccountName(held.ticket.account),
             UpstreamName(held.upstream),
@@ -178,12 +178,12 @@
                 self.host.fleet.traffic.count(_LINK, merged)
                 await stream.send_message(merged)
         except TRANSPORT_ERRORS:
-            # The receiving side of the stream sees the same and cleans up.
+            # The receiving task gets the same error and cleans up.
             return
 
 
 def read_ticket(ticket: Ticket, incarnation: Incarnation, now: float) -> WaitingTicket:
-    """Return a ticket as the scheduler keeps it."""
+    """Convert a ticket message, relative times to the scheduler's clock."""
     deadline = now + ticket.deadline_ms / 1000 if ticket.deadline_ms else float('inf')
     return WaitingTicket(
         key=(incarnation, TicketId(ticket.id)),
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -1,7 +1,8 @@
-"""The scheduler of one shard: who is served next, and where.
+"""Scheduler of one shard: chooses the next ticket and its upstream.
 
-One router holds this duty at a time, under an epoch.  Its own count of held
-slots is the truth; all state here is rebuilt from what the routers re-send.
+A shard is assigned to one router at a time, under an epoch.  The scheduler's
+own count of held slots is authoritative; all state is rebuilt from what
+routers re-send when they connect.
 """
 
 from collections import defaultdict
@@ -21,20 +22,20 @@
 )
 
 DEBT_CAP = 20_000.0
-"""Weighted cost by which an account may stand above the least served."""
+"""Weighted cost by which an account's counter may exceed the least served one."""
 
 STARVATION_SECONDS = 20.0
-"""Seconds after which a waiting ticket may be served out of turn."""
+"""Waiting time after which a ticket may be served out of turn."""
 
 _GRANTS_PER_STARVED_TICKET = 8
-"""At most one grant in this many goes out of turn."""
+"""At most one in this many grants goes out of turn."""
 
 _MIN_RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class HeldSlot:
-    """A granted slot; ``pending`` is the estimate not yet used up."""
+    """A granted slot; ``pending`` is the estimated cost not yet reported."""
 
     account: AccountName
     upstream: UpstreamName
@@ -44,9 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedTicket:
-    """A ticket that has got a slot.
+    """A ticket that was granted a slot.
 
-    ``moved_from`` is where its session ran last, if that is elsewhere.
+    ``moved_from`` is the upstream on which its session ran last, if that is
+    another one.
     """
 
     ticket: WaitingTicket
@@ -56,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueFull:
-    """An account's queue has no room; ``retry_after`` is in seconds."""
+    """An account's queue is full; ``retry_after`` is in seconds."""
 
     retry_after: float
 
 
 @dataclass(slots=True)
 class Counters:
-    """Sums since this life began; seconds for times."""
+    """Counters since this scheduler started; times in seconds."""
 
     granted: int = 0
     refused: int = 0
@@ -86,16 +88,16 @@
         self.grants_since_starved = 0
 
     def set_upstreams(self, slots: dict[UpstreamName, int], now: float) -> None:
-        """Say which upstreams may get new work, and their slots."""
+        """Set the upstreams that accept new requests, with their slots."""
         held: dict[UpstreamName, set[TicketKey]] = defaultdict(set)
         for key, slot in self.held.items():
             held[slot.upstream].add(key)
         self.capacity.set_upstreams(slots, held, now)
 
     def submit(self, ticket: WaitingTicket) -> QueueFull | None:
-        """Queue a ticket, or say that its account has too many waiting.
+        """Queue a ticket, or return ``QueueFull``.
 
-        A ticket that is known already was re-sent after a broken link.
+        A ticket that is already known was re-sent after a broken connection.
         """
         if ticket.key in self.tickets or ticket.key in self.held:
             return None
@@ -111,20 +113,20 @@
         return None
 
     def cancel(self, key: TicketKey) -> None:
-        """Forget a waiting ticket."""
+        """Remove a waiting ticket."""
         ticket = self.tickets.pop(key, None)
         if ticket is not None:
             self.queues[ticket.account].remove(ticket)
 
     def pop_expired(self, now: float) -> list[WaitingTicket]:
-        """Take out and return the tickets whose deadline has passed."""
+        """Remove and return the tickets whose deadline has passed."""
         late = [one for one in self.tickets.values() if one.deadline <= now]
         for ticket in late:
             self.cancel(ticket.key)
         return late
 
     def adopt(self, key: TicketKey, slot: HeldSlot, now: float) -> None:
-        """Take over a slot that a router holds from an earlier epoch."""
+        """Take over a slot that was granted in an earlier epoch."""
         if key in self.held:
             return
         self.cancel(key)
@@ -134,12 +136,12 @@
         self._hold(key, slot, now)
 
     def report(self, key: TicketKey, cost: float, gap: float, now: float) -> float:
-        """Note a request's cost so far and its time between tokens.
+        """Record the cost of a request so far and its time between tokens.
 
         Returns
         -------
         float
-            By how much the cost has grown since the last report.
+            Increase of the cost since the last report.
         """
         slot = self.held.get(key)
         if slot is None:
@@ -156,7 +158,7 @@
         return increase
 
     def release(self, key: TicketKey, *, failed: bool, now: float) -> None:
-        """Free a slot."""
+        """Release a slot; ``failed`` penalizes its upstream."""
         slot = self.held.pop(key, None)
         if slot is None:
             return
@@ -174,7 +176,7 @@
         self.capacity.refresh(slot.upstream, now)
 
     def drop_router(self, incarnation: Incarnation, now: float) -> None:
-        """Free all that a router life held or waited for."""
+        """Cancel all tickets and release all slots of a router incarnation."""
         for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
         for key in _keys_of(self.held, incarnation):
@@ -186,7 +188,7 @@
         held: set[TicketKey],
         now: float,
     ) -> None:
-        """Forget what a router life that connects anew does not re-send."""
+        """Drop the state of a reconnected router that it did not re-send."""
         for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
         for key in _keys_of(self.held, incarnation):
@@ -194,7 +196,7 @@
                 self.release(key, failed=False, now=now)
 
     def grants(self, now: float) -> Iterator[PlacedTicket]:
-        """Grant slots while there are tickets and room for them."""
+        """Grant slots while there are tickets and free slots for them."""
         while self.tickets:
             placed = self._next_grant(now)
             if placed is None:
@@ -206,14 +208,14 @@
         return [name for name, queue in self.queues.items() if queue.length]
 
     def service_gap(self) -> float:
-        """Return the widest gap in weighted service among the backlogged."""
+        """Return the largest gap in weighted service between backlogged accounts."""
         virtual_service = [
             self.fair.shares[one].virtual_service() for one in self.backlogged()
         ]
         return max(virtual_service) - min(virtual_service) if virtual_service else 0.0
 
     def gap_bound(self) -> float:
-        """Return the bound on that gap: twice what can be in flight, plus credit.
+        """Return the bound on that gap: twice the cost in flight, plus the credit.
 
         See docs/design/fairness.md for the derivation.
         """
@@ -235,13 +237,13 @@
         return None
 
     def _may_overcommit(self) -> bool:
-        """Tell whether urgent work waits that may go beyond the slots."""
+        """Return whether an urgent ticket waits that may exceed the slots."""
         return self.policy.urgent_overcommit > 0 and any(
             queue.heaps[Urgency.urgent] for queue in self.queues.values()
         )
 
     def _candidates(self, now: float) -> list[WaitingTicket]:
-        """Return each backlogged account's head, in the order of service."""
+        """Return the next ticket of each backlogged account, in order of rank."""
         heads = [
             head
             for name in self.backlogged()
@@ -257,8 +259,8 @@
     def _starved_ticket(self, now: float) -> WaitingTicket | None:
         """Return a ticket that has waited too long, once every few grants.
 
-        Fair shares alone do not keep a ticket from waiting: its account may
-        be served all it is due by another shard.
+        Fair shares alone do not prevent starvation: another shard may serve
+        the whole share of the account.
         """
         if self.grants_since_starved < _GRANTS_PER_STARVED_TICKET:
             return None
--- a/packages/router/src/hitchdeck_router/scheduling/slots.py
+++ b/packages/router/src/hitchdeck_router/scheduling/slots.py
@@ -1,4 +1,4 @@
-"""Getting a slot in a pool: which shard to ask, and when to ask another."""
+"""Acquires slots in a pool: chooses a shard, and moves tickets between shards."""
 
 import asyncio
 from collections.abc import Iterator
@@ -20,21 +20,28 @@
 from hitchdeck_router.scheduling.client_state import PendingTicket, Slot
 
 _SHARDS_PER_ROUTER = 4
-"""How many shards of a pool one router deals with: enough choice to find a
-free slot, few enough that connections grow with routers, not with their
-product with shards."""
+"""Maximum number of shards of a pool to which a router connects: enough to find a
+free slot, and few enough that the number of connections grows with the routers and
+not with the product of routers and shards."""
 
 _REBALANCE_PERIOD_SECONDS = 0.1
 _IDLE_PERIOD_SECONDS = 1.0
 _UNAVAILABLE = 503
 _NO_SCHEDULER_TIMEOUT_SECONDS = 10.0
-"""Seconds; a frozen scheduler is replaced when its lease of 3 s has run out,
-so that a shorter patience would refuse what is about to be served."""
+"""Time without a reachable scheduler after which tickets are refused.  A frozen
+scheduler is replaced once its lease of 3 s has expired, so that a shorter timeout
+would refuse tickets that are about to be served."""
 _RETRY_AFTER_SECONDS = 1.0
 
 
 class SlotFinder:
-    """All shard clients of a router."""
+    """Acquires slots through the shard clients of a router.
+
+    Attributes
+    ----------
+    reported_sums
+        Cost sums by shard and account, as last reported to the leader.
+    """
 
     def __init__(
         self,
@@ -56,7 +63,7 @@
     async def acquire(self, pool: PoolName, ticket: Ticket) -> Slot:
         """Wait for a slot in a pool.
 
-        Cancelling the wait withdraws the ticket.
+        Cancelling this call cancels the ticket.
 
         Raises
         ------
@@ -79,7 +86,7 @@
             raise
 
     async def rebalance(self) -> None:
-        """Move tickets that wait to shards that are idle; for ever."""
+        """Move waiting tickets to idle shards; never returns."""
         while True:
             several = len(self.clients) > 1
             await asyncio.sleep(
@@ -90,7 +97,7 @@
                     self._move_waiting(client)
 
     def unreported_usage(self) -> list[UsageSum]:
-        """Return the sums that have grown since they were last told."""
+        """Return the cost sums that have grown since the last report."""
         unreported = []
         for shard, client in self.clients.items():
             for account, cost in client.sums.items():
@@ -100,14 +107,14 @@
         return unreported
 
     def reset_reported_usage(self) -> None:
-        """Tell everything again: a new leader knows none of it."""
+        """Report all sums again, as a new leader has none of them."""
         self.reported_sums.clear()
 
     def _best_client(self, pool: PoolName, ticket: Ticket) -> ShardClient:
         clients = list(self._clients_of(pool))
         assert clients, 'a pool has at least one shard'
         if ticket.session:
-            # Sessions keep to one shard, so that its cache record knows them.
+            # A session stays on one shard, whose cache index contains it.
             shards = {client.shard: client for client in clients}
             return shards[ShardId(ranked(ticket.session, shards)[0])]
         return min(
@@ -121,7 +128,7 @@
         )
 
     def _cancel(self, pending: PendingTicket) -> None:
-        """Withdraw a ticket; its grant may have arrived at this moment."""
+        """Cancel a ticket, and release the slot if it was granted meanwhile."""
         assert pending.client is not None
         number = TicketId(pending.ticket.id)
         pending.client.withdraw(number)
@@ -130,9 +137,9 @@
             slot.release()
 
     def _move_waiting(self, client: ShardClient) -> None:
-        """Move a waiting ticket away from a busy or lost shard, if possible.
+        """Move a waiting ticket from a busy or unreachable shard, if possible.
 
-        One at a time: that a shard is idle is old news already.
+        One ticket per target shard, as its idle state may be stale.
         """
         pool = pool_of(client.shard)
         if not client.connected:
@@ -178,10 +185,10 @@
 
 
 def _is_better(client: ShardClient, other: ShardClient) -> bool:
-    """Tell whether a ticket is better off at another shard.
+    """Return whether a ticket should move to another shard.
 
     A shard without upstreams (all are leaving, or there are fewer upstreams
-    than shards) will never serve it, so any that does is better.
+    than shards) never serves it, so any shard with upstreams is better.
     """
     if not client.serves:
         return other.connected and other.serves
