--- a/packages/router/src/hitchdeck_router/dispatch/__init__.py
+++ b/packages/router/src/hitchdeck_router/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""From a granted slot to a whole answer."""
+"""Dispatch of admitted requests to upstreams."""
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""Slots, claims and retries around one call to an upstream."""
+"""Slots, idempotency claims and retries around calls to upstreams."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,14 +32,15 @@
 _JSON = 'application/json'
 
 RunOnce = Callable[[Slot, Upstream], Awaitable[None]]
-"""Runs a request on a granted upstream, to the end or an ``UpstreamError``."""
+"""Runs a request on a granted upstream; raises ``UpstreamError`` on failure."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far a request has come over all its attempts.
+    """Progress of a request over all its attempts.
 
-    ``sent`` is whether any byte may have gone to an upstream.
+    ``sent`` is whether any byte may have been sent to an upstream;
+    ``repeatable`` is whether it may be retried after that.
     """
 
     attempt: int = 0
@@ -50,10 +51,10 @@
 
 
 class ReplayError(Exception):
-    """Raised when the ledger has an answer, in place of a run."""
+    """Raised in place of a run when the ledger has a stored response."""
 
     def __init__(self, response: StoredResponse) -> None:
-        super().__init__('answered before')
+        super().__init__('the ledger has a stored response')
         self.response = response
 
 
@@ -63,18 +64,18 @@
     progress: Progress,
     run_once: RunOnce,
 ) -> None:
-    """Run a request, again on another upstream where that is allowed.
+    """Run a request, and retry it on other upstreams where that is allowed.
 
     Raises
     ------
     NotRunError
-        No byte went to any upstream.
+        No byte was sent to any upstream.
     OutcomeUnknownError
-        Some byte did, and no whole answer came of it.
+        Bytes were sent, and no complete response was received.
     ReplayError
-        An earlier run's answer is kept.
+        The response of an earlier run is stored.
     CallerLeftError
-        The caller closed before anything was sent.
+        The caller disconnected before anything was sent.
     """
     context.budget.earn()
     while True:
@@ -117,7 +118,7 @@
             raise OutcomeUnknownError(
                 _BAD_GATEWAY,
                 'upstream-broken',
-                f'an upstream failed within the answer; then: {error.reason}',
+                f'an upstream failed during its response; then: {error.reason}',
                 error.retry_after,
             ) from error
         raise
@@ -145,17 +146,19 @@
     upstream = _usable_after_claim(context, admitted, grant, claimed)
     admitted.upstream = upstream.name
     if not claimed and admitted.has_disconnected():
-        # The loop, which would tell, does not turn between grant and call.
+        # The event loop, which would report the close, does not run between the
+        # grant and the call.
         raise CallerDisconnectedError(admitted.request)
     try:
-        # No await between the check of lease and configuration and the call.
+        # There must be no await between the check of lease and configuration
+        # and the call.
         await run_once(grant, upstream)
     except UpstreamUnreachedError:
         if claimed:
             _settle(context, admitted, StoredResponse(RunStatus.not_run))
         raise
     except UpstreamRefusedError as error:
-        # A refusal is the answer: whoever asks again gets it again.
+        # The refusal is stored as the response and replayed on retries.
         if claimed:
             response = StoredResponse(RunStatus.ran, error.status, _JSON, error.body)
             _settle(context, admitted, response)
@@ -198,12 +201,12 @@
     admitted: AdmittedRequest,
     name: UpstreamName,
 ) -> Upstream:
-    """Return a granted upstream if new work may go there at this moment."""
+    """Return a granted upstream, or raise if it accepts no new requests now."""
     view = context.fleet.view
     if not context.fleet.lease.is_live():
-        raise GrantLostError('the configuration lease has run out')
+        raise GrantLostError('the configuration lease has expired')
     if not view.may_dispatch(admitted.pool, name):
-        raise GrantLostError(f'{name} is leaving or gone')
+        raise GrantLostError(f'{name} is leaving or was removed')
     check_accepting(context, name)
     return view.upstreams[name]
 
@@ -247,7 +250,7 @@
     upstream: UpstreamName,
     error: Exception,
 ) -> None:
-    """Count a failure and raise the final error if there is no other try."""
+    """Record a failure, and raise the final error if no retry is allowed."""
     progress.failures += 1
     admitted.avoid.add(upstream)
     logs.warning(
--- a/packages/router/src/hitchdeck_router/dispatch/backpressure.py
+++ b/packages/router/src/hitchdeck_router/dispatch/backpressure.py
@@ -1,4 +1,4 @@
-"""Upstreams that asked this router for a pause: spared, and told to callers."""
+"""Enforcement of the backoff that upstreams request from this router."""
 
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_core.resources import Upstream
@@ -13,13 +13,13 @@
 def apply_backpressure(
     context: RouterContext, upstream: Upstream, head: ResponseHead
 ) -> None:
-    """Keep to the pause that an upstream asks for in an answer."""
+    """Start the backoff that an upstream requests in a response, if any."""
     seconds = pause_asked(head.status, head.headers.get(RETRY_AFTER, ''))
     context.backpressure.pause(UpstreamName(upstream.name), seconds)
 
 
 def check_pool_accepting(context: RouterContext, pool: PoolName) -> None:
-    """Raise ``NotRunError`` while every upstream of a pool wants a pause."""
+    """Raise ``NotRunError`` while every upstream of a pool is in backoff."""
     if not context.backpressure.closed():
         return
     in_service = context.fleet.view.in_service(pool)
@@ -29,13 +29,14 @@
         raise NotRunError(
             _UNAVAILABLE,
             'upstreams-paused',
-            f'every upstream of pool {pool} wants a pause',
+            f'every upstream of pool {pool} requested a backoff',
             left,
         )
 
 
 def check_accepting(context: RouterContext, name: UpstreamName) -> None:
-    """Raise ``GrantLostError`` during the backoff of an upstream."""
-    # Entry boxes sent up to 37 requests to one within the 3 s that it asked for.
+    """Raise ``GrantLostError`` while an upstream is in backoff."""
+    # Entry boxes without this check sent up to 37 requests to one upstream within
+    # the 3 s of its backoff.
     if not context.backpressure.wants_requests(name):
-        raise GrantLostError(f'{name} wants a pause')
+        raise GrantLostError(f'{name} requested a backoff')
--- a/packages/router/src/hitchdeck_router/dispatch/caches.py
+++ b/packages/router/src/hitchdeck_router/dispatch/caches.py
@@ -1,7 +1,7 @@
-"""Moving a session's KV cache from one engine to another.
+"""Transfer of a session's KV cache between engines.
 
 Best effort: an engine that lacks the cache computes the prompt again, which
-costs time and nothing else, so no failure here may fail the request.
+only costs time, so that a failure here must not fail the request.
 """
 
 import json
@@ -35,13 +35,13 @@
     Returns
     -------
     bool
-        Whether the target has the cache now.
+        Whether the target has the cache.
     """
     origin = context.fleet.view.upstreams.get(source)
     if origin is None:
         return False
     try:
-        # Each session's move asked engines again that had asked for a pause.
+        # A transfer must not ignore the backoff that an engine requested.
         for end in (source, UpstreamName(target.name)):
             check_accepting(context, end)
         content = await _call(context, origin, session, 'GET', b'')
--- a/packages/router/src/hitchdeck_router/dispatch/calls.py
+++ b/packages/router/src/hitchdeck_router/dispatch/calls.py
@@ -1,9 +1,9 @@
-"""One HTTP call to one upstream, on tornado's own client connection.
+"""HTTP calls to upstreams on tornado's ``HTTP1Connection``.
 
-Tornado's ``AsyncHTTPClient`` can neither be cancelled nor say whether the
-connection was made before a failure; ``HTTP1Connection`` under it gives
-both, and back pressure besides: the next chunk is read only once the last
-one was taken.
+Tornado's ``AsyncHTTPClient`` can't be cancelled, and doesn't report whether
+the connection was established before a failure.  The ``HTTP1Connection`` below
+it allows both, and backpressure: the next chunk is read only after the last
+one was consumed.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """What to send; ``read_timeout`` is the longest wait for a chunk, in seconds."""
+    """A request; ``read_timeout`` is the maximum wait for a chunk, in seconds."""
 
     method: str
     path: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: HTTPHeaders
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class _ResponseEnd:
-    """The last thing in the queue; ``complete`` if the framing was complete."""
+    """End of a response; ``complete`` if its framing was complete."""
 
     complete: bool
 
 
 @dataclass
 class _Receiver(HTTPMessageDelegate):
-    """Puts what the connection reads into a queue of one."""
+    """Puts the parts of a response into a queue of length one."""
 
     queue: asyncio.Queue[ResponseHead | bytes | _ResponseEnd] = field(
         default_factory=lambda: asyncio.Queue(1),
@@ -67,15 +67,15 @@
     abandoned: bool = False
 
     async def put(self, received: ResponseHead | bytes | _ResponseEnd) -> None:
-        """Hand something over, unless nobody will take it any more."""
+        """Queue a part of the response, unless the call was abandoned."""
         if not self.abandoned:
             await self.queue.put(received)
 
     def abandon(self) -> None:
-        """Let the connection run to its end without anybody reading.
+        """Discard the rest of the response.
 
-        Cancelling the reading task instead would have tornado log an error
-        for each caller that goes away.
+        Cancelling the reader task instead would make tornado log an error for
+        each caller that disconnects.
         """
         self.abandoned = True
         while not self.queue.empty():
@@ -86,24 +86,24 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Pass the head on."""
+        """Queue the status and headers."""
         assert isinstance(start_line, ResponseStartLine)
         await self.put(ResponseHead(start_line.code, headers))
 
     async def data_received(self, chunk: bytes) -> None:
-        """Pass a chunk on, and hold the connection until it is taken."""
+        """Queue a chunk; blocks reading until there is space."""
         await self.put(chunk)
 
     def finish(self) -> None:
-        """Note a complete answer."""
+        """Mark the response as complete."""
         self.ended = True
 
     def on_connection_close(self) -> None:
-        """Note nothing: an answer that did not finish is broken."""
+        """Do nothing: a response without ``finish`` counts as broken."""
 
 
 class UpstreamCall:
-    """An open call; close it in the end, which cancels what still runs."""
+    """An open call; ``close`` it when done, which cancels a running request."""
 
     def __init__(self, stream: IOStream, read_timeout: float) -> None:
         self.stream = stream
@@ -112,7 +112,7 @@
         self.reading: asyncio.Task[None] | None = None
 
     async def start(self, address: Address, request: CallRequest) -> None:
-        """Send the request and begin to read."""
+        """Send the request and start reading the response."""
         connection = HTTP1Connection(
             self.stream,
             is_client=True,
@@ -136,11 +136,11 @@
         """Wait for the status and headers."""
         received = await self._next()
         if not isinstance(received, ResponseHead):
-            raise UpstreamBrokenError('connection closed before an answer')
+            raise UpstreamBrokenError('connection closed before the response')
         return received
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise ``UpstreamBrokenError`` if it is cut short."""
+        """Yield the body; raise ``UpstreamBrokenError`` if it is truncated."""
         while True:
             received = await self._next()
             if isinstance(received, bytes):
@@ -148,14 +148,14 @@
                 continue
             if isinstance(received, _ResponseEnd) and received.complete:
                 return
-            raise UpstreamBrokenError('connection closed within the answer')
+            raise UpstreamBrokenError('connection closed during the response')
 
     async def read_body(self) -> bytes:
-        """Return the whole body."""
+        """Read and return the complete body."""
         return b''.join([chunk async for chunk in self.chunks()])
 
     def close(self) -> None:
-        """Close the connection; an engine takes this for a cancellation."""
+        """Close the connection, which engines treat as a cancellation."""
         self.receiver.abandon()
         self.stream.close()
 
@@ -172,7 +172,7 @@
             async with asyncio.timeout(self.read_timeout):
                 return await self.receiver.queue.get()
         except TimeoutError as error:
-            raise UpstreamBrokenError(f'silent for {self.read_timeout} s') from error
+            raise UpstreamBrokenError(f'no data for {self.read_timeout} s') from error
 
 
 async def open_call(address: Address, request: CallRequest) -> UpstreamCall:
@@ -181,9 +181,9 @@
     Raises
     ------
     UpstreamUnreachedError
-        No connection was made, so no byte of the request was sent.
+        The connection could not be established, so nothing was sent.
     UpstreamBrokenError
-        The connection broke while the request was sent.
+        The connection broke while the request was being sent.
     """
     stream = await _connect(address)
     stream.set_nodelay(True)
@@ -197,14 +197,14 @@
 
 
 async def accepts_connections(address: Address) -> bool:
-    """Tell whether an upstream accepts connections and goes on running."""
+    """Return whether an upstream accepts connections and keeps running."""
     opened: list[IOStream] = []
 
     async def open_probe() -> UntilClosed | None:
         try:
             stream = await _connect(address)
         except UpstreamUnreachedError:
-            # That it could not be reached is the answer.
+            # An unreachable upstream is a result of the probe, not an error.
             return None
         opened.append(stream)
         closed = asyncio.Event()
--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -1,8 +1,8 @@
-"""Chat completions: one stream from the engine, resumed where it broke.
+"""Chat completions: streamed from an engine, and resumed after a failure.
 
-The engine is always asked for a stream, whatever the caller wants: tokens
-show progress, cost and gaps as they come, and a stream that breaks can be
-taken up on another engine from the last token delivered.
+Engines are always asked for a stream, even if the caller is not: streamed
+tokens show progress, cost and gaps, and a broken stream can be continued on
+another engine after the last delivered token.
 """
 
 import json
@@ -40,12 +40,12 @@
 _MS_PER_SECOND = 1000
 
 Deliver = Callable[[dict[str, Any]], Awaitable[None]]
-"""Takes each chunk for the caller; waits while the caller is slow."""
+"""Sends a chunk to the caller; waits while the caller reads slowly."""
 
 
 @dataclass(slots=True)
 class ChatResponse:
-    """What has been generated so far, over all attempts."""
+    """Text and usage generated so far, over all attempts."""
 
     request_id: str
     model: str
@@ -56,7 +56,7 @@
     created: int = field(default_factory=lambda: int(time.time()))
 
     def usage(self) -> dict[str, int]:
-        """Return the usage object of the API."""
+        """Return the API's usage object."""
         return {
             'prompt_tokens': self.prompt_tokens,
             'completion_tokens': self.output_tokens,
@@ -64,7 +64,7 @@
         }
 
     def completion(self) -> dict[str, Any]:
-        """Return the answer for a caller that wants no stream."""
+        """Return the completion object for a caller that does not stream."""
         message = {'role': 'assistant', 'content': ''.join(self.text)}
         return {
             'id': self.completion_id,
@@ -83,13 +83,13 @@
 
     @property
     def completion_id(self) -> str:
-        """Id of the answer; the same in every chunk, whoever generated it."""
+        """Id of the completion, which is the same in every chunk of all attempts."""
         return f'chatcmpl-{self.request_id}'
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One engine's part of an answer."""
+    """One engine's part of a response; times in seconds."""
 
     started_at: float
     last_token_at: float | None = None
@@ -104,14 +104,14 @@
     body: dict[str, Any],
     deliver: Deliver,
 ) -> ChatResponse:
-    """Run a chat request to its end.
+    """Run a chat request to completion.
 
     Raises
     ------
     RouterError
-        With what is known of the run.
+        The run failed; the error says whether it may have run.
     UpstreamRefusedError
-        The engine's own refusal, for the caller to see.
+        The engine refused the request; its response is for the caller.
     """
     response = ChatResponse(admitted.request, str(body['model']))
     progress = Progress(repeatable=admitted.key is None)
@@ -158,7 +158,7 @@
 
 
 def _continue_from(engine_body: dict[str, Any], response: ChatResponse) -> None:
-    """Ask for the rest of an answer, by the parameters that vLLM documents."""
+    """Request the rest of a response, with the parameters documented by vLLM."""
     so_far = {'role': 'assistant', 'content': ''.join(response.text)}
     engine_body['messages'] = [*engine_body['messages'], so_far]
     engine_body['continue_final_message'] = True
@@ -169,10 +169,10 @@
 
 
 def check_request_id(head: ResponseHead, admitted: AdmittedRequest) -> None:
-    """Raise ``UpstreamBrokenError`` for an answer to another request."""
+    """Raise ``UpstreamBrokenError`` if a response belongs to another request."""
     echoed = head.headers.get(REQUEST_ID_HEADER, admitted.request)
     if echoed != admitted.request:
-        raise UpstreamBrokenError(f'answer to {echoed}, not {admitted.request}')
+        raise UpstreamBrokenError(f'response to {echoed}, not to {admitted.request}')
 
 
 async def _check_status(head: ResponseHead, call: UpstreamCall) -> None:
@@ -193,7 +193,7 @@
 ) -> None:
     attempt = _Attempt(context.fleet.now())
     reader = EventReader()
-    # The prompt was computed even if no token ever comes.
+    # The prompt is charged even if the engine sends no token.
     grant.record_cost(prompt_cost(len(admitted.body)))
     async for piece in call.chunks():
         for event in _events(reader, piece):
@@ -214,7 +214,7 @@
 
 
 def _check_finished(attempt: _Attempt) -> None:
-    """Refuse a terminator that came before the end of the answer."""
+    """Raise an error if the terminator came before a finish reason."""
     if not attempt.finished:
         raise UpstreamBrokenError('terminator without a finish reason')
 
@@ -224,9 +224,11 @@
         chunk = json.loads(event)
         engine_id = chunk['id']
     except (ValueError, KeyError, TypeError) as error:
-        raise UpstreamBrokenError(f'chunk is not a chunk: {error}') from error
+        raise UpstreamBrokenError(f'malformed chunk: {error}') from error
     if attempt.engine_id and engine_id != attempt.engine_id:
-        raise UpstreamBrokenError(f'chunk of {engine_id} in {attempt.engine_id}')
+        raise UpstreamBrokenError(
+            f'chunk of completion {engine_id} in completion {attempt.engine_id}'
+        )
     attempt.engine_id = engine_id
     return chunk  # type: ignore[no-any-return]
 
--- a/packages/router/src/hitchdeck_router/dispatch/ledger.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ledger.py
@@ -1,4 +1,4 @@
-"""Claims for requests that may run at most once."""
+"""Idempotency claims, for requests that may run at most once."""
 
 import asyncio
 import base64
@@ -29,7 +29,7 @@
 
 
 class RunStatus(Enum):
-    """What is known of a run."""
+    """Whether a request has run, as far as this router knows."""
 
     ran = 'ran'
     not_run = 'not-run'
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredResponse:
-    """An answer that was given before, or is to be kept."""
+    """The outcome of a run as stored in the ledger."""
 
     ran: RunStatus
     status: int = 0
@@ -47,7 +47,7 @@
 
 
 class Ledger:
-    """The router's dealings with the ledger of the control group."""
+    """Client of the control group's ledger of claims and outcomes."""
 
     def __init__(
         self,
@@ -72,16 +72,16 @@
         Returns
         -------
         KeptAnswer or None
-            ``None`` if the run is this router's: dispatch once, now.  An
-            earlier run's answer otherwise.
+            ``None`` if the claim was granted, so that this router has to
+            dispatch the request once; otherwise the outcome of an earlier run.
 
         Raises
         ------
         NotRunError
-            The key is expired, was used with other content, or the control
-            group can't be reached; this attempt has run nothing.
+            The key is expired or was used with other content, or the control
+            group can't be reached; nothing has run.
         OutcomeUnknownError
-            Another router claimed it and has not said how it ended.
+            Another router has the claim and has not settled it.
         """
         claim = Claim(
             account=admitted.account,
@@ -106,17 +106,17 @@
         raise OutcomeUnknownError(
             _CONFLICT,
             'in-progress',
-            'another request with this key was sent on and has not ended',
+            'another request with this key was dispatched and has not finished',
             _RETRY_AFTER_SECONDS,
         )
 
     def settle(
         self, admitted: AdmittedRequest, key: IdempotencyKey, response: StoredResponse
     ) -> None:
-        """Record how a claimed run ended, in the background.
+        """Record the outcome of a claimed run, in the background.
 
-        Until that is committed, whoever asks again is told to wait, which
-        is true.
+        Until this is committed, retries with the same key are told to wait,
+        as the claim is pending.
         """
         body = base64.b64encode(response.body).decode()
         if len(response.body) > MAX_STORED_RESPONSE_BYTES:
@@ -138,8 +138,8 @@
         try:
             return await self.client.execute(claim, _CLAIM_TIMEOUT_SECONDS)
         except LinkError as error:
-            # The claim may be committed all the same: free the key, since
-            # nothing was sent on and nothing will be.
+            # The claim may have been committed nevertheless: release the key,
+            # as the request was not and will not be dispatched.
             self.settle(admitted, key, StoredResponse(RunStatus.not_run))
             raise NotRunError(
                 _UNAVAILABLE,
--- a/packages/router/src/hitchdeck_router/dispatch/quarantine.py
+++ b/packages/router/src/hitchdeck_router/dispatch/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which upstreams ended: kept away, and found out about."""
+"""Quarantine of requests that crash upstreams, and detection of crashes."""
 
 from functools import partial
 
@@ -14,34 +14,36 @@
 from hitchdeck_router.errors import NotRunError
 
 INCARNATION_WINDOW_SECONDS = 10
-"""Two ends of one upstream this far apart are two lives: upstreams of this product
-say nothing of their starts, and several routers see one end within some ms."""
+"""Crashes of one upstream in different windows of this length count as different
+incarnations.  These upstreams don't report their start, and several routers see one
+crash within some milliseconds."""
 
 _UNAVAILABLE = 503
 
 
 def incarnation_of(name: UpstreamName) -> LifeId:
-    """Return the life of an upstream that ends now, the same at every router.
+    """Return an id for the incarnation of an upstream that crashes now.
 
-    Two clocks that differ may name two, and then two ends are enough in place
-    of three.
+    It is the same at every router.  If clocks differ, one crash may be counted
+    as two incarnations, so that two crashes quarantine a request in place of
+    three.
     """
     return LifeId(f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}')
 
 
 def crash_detector_of(quarantine: Quarantine) -> Endings:
-    """Return what finds out about ends; schedulers hear of each failure anyway."""
+    """Return a crash detector; schedulers learn of failures from reports instead."""
     return Endings(quarantine, on_end=str)
 
 
 def check_not_quarantined(context: RouterContext, admitted: AdmittedRequest) -> None:
-    """Raise ``NotRunError`` for a request under which upstreams ended."""
-    # Six of six engines ended under one that came again, at any router.
+    """Raise ``NotRunError`` for a request that has crashed upstreams."""
+    # A lethal request that was retried crashed six of six engines, at any router.
     if context.fleet.quarantine.holds(admitted.fingerprint):
         raise NotRunError(
             _UNAVAILABLE,
             'quarantined',
-            'upstreams ended under this request',
+            'upstreams crashed while they ran this request',
             QUARANTINE_SECONDS,
         )
 
@@ -49,7 +51,7 @@
 def check_for_crash(
     context: RouterContext, admitted: AdmittedRequest, upstream: Upstream
 ) -> None:
-    """Find out whether an upstream that gave no whole answer has ended."""
+    """Check whether an upstream that sent no complete response has crashed."""
     probe = partial(accepts_connections, upstream.address)
     incarnation = incarnation_of(UpstreamName(upstream.name))
     context.endings.note(incarnation, admitted.fingerprint, probe)
--- a/packages/router/src/hitchdeck_router/dispatch/requests.py
+++ b/packages/router/src/hitchdeck_router/dispatch/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request after its checks, on its way to an upstream."""
+"""Admitted requests, and their idempotency keys and prompt prefixes."""
 
 import hashlib
 import json
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """An idempotency key; ``issued`` in Unix seconds."""
+    """An idempotency key; ``issued`` is the time of its creation in Unix seconds."""
 
     text: str
     issued: float
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """A request that may be scheduled.
+    """A request that passed admission and may be scheduled.
 
     Attributes
     ----------
@@ -35,13 +35,13 @@
     prefix
         Hashes of growing prefixes of the prompt, the shortest first.
     upstream
-        Where it was sent last, for the log.
+        Upstream to which it was sent last, for the log.
     has_left
-        Tells whether its caller has closed the connection, as its socket has it.
+        Returns whether the caller has closed the connection, from its socket.
     target
-        Method and path, as they were asked for.
+        Method and path of the request.
     fingerprint
-        What is the same in each repeat of it, whatever its id.
+        Digest that is equal for each retry of the request.
     """
 
     request: RequestId
@@ -62,7 +62,7 @@
     fingerprint: Fingerprint = field(init=False)
 
     def __post_init__(self) -> None:
-        """Take the fingerprint of what the caller sent."""
+        """Compute the fingerprint of the request."""
         target, account = self.target.encode(), self.account.encode()
         self.fingerprint = fingerprint_of(target, account, self.body)
 
@@ -72,9 +72,9 @@
         return self.urgency.name
 
     def ticket(self, now: float, blocked: Set[UpstreamName]) -> Ticket:
-        """Return a ticket for the scheduler; it gets its number there.
+        """Return a ticket for the scheduler; ``SlotFinder`` sets its number.
 
-        ``blocked`` are the upstreams that want nothing from this router.
+        ``blocked`` are the upstreams that accept no requests from this router.
         """
         left = 0
         if self.deadline:
@@ -91,7 +91,7 @@
 
 
 def body_digest(path: str, body: bytes) -> str:
-    """Return what must be equal when the same key comes again."""
+    """Return the digest that must match when a key is reused."""
     return hashlib.sha256(path.encode() + b'\0' + body).hexdigest()
 
 
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, passed through byte for byte."""
+"""Calls to plain services, whose responses are forwarded unchanged."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class ServiceRequest:
-    """What goes to the service: method, path with query, headers."""
+    """A request to a service: method, path with query, headers."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ServiceResponse:
-    """The service's answer; the body only as far as it is kept."""
+    """A service's response; the body only up to the size that is stored."""
 
     status: int = 0
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
@@ -53,14 +53,15 @@
     deliver_head: DeliverHead,
     deliver_bytes: DeliverBytes,
 ) -> None:
-    """Run a service call to its end.
+    """Run a service call to completion.
 
     Raises
     ------
     RouterError
-        With what is known of the run; nothing was delivered.
+        The run failed before anything was delivered; the error says whether it
+        may have run.
     AnswerCutError
-        The answer broke off after its head had been delivered.
+        The response broke after its head was delivered.
     """
     progress = Progress(repeatable=request.repeatable and admitted.key is None)
 
--- a/packages/router/src/hitchdeck_router/dispatch/sse.py
+++ b/packages/router/src/hitchdeck_router/dispatch/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as far as OpenAI-compatible engines use them."""
+"""Server-sent events, the subset used by OpenAI-compatible engines."""
 
 from collections.abc import Iterator
 
@@ -8,25 +8,25 @@
 
 
 class EventTooLongError(Exception):
-    """Raised when an event exceeds what any engine sends."""
+    """Raised when an event exceeds the maximum size."""
 
 
 class EventReader:
-    """Cuts a byte stream into the data of its events."""
+    """Splits a byte stream into the data of its events."""
 
     def __init__(self) -> None:
         self.buffer = b''
 
     def feed(self, chunk: bytes) -> Iterator[bytes]:
-        """Yield the data of each event that the chunk completes."""
+        """Yield the data of each event that is completed by the chunk."""
         *lines, self.buffer = (self.buffer + chunk).split(b'\n')
         if len(self.buffer) > _MAX_EVENT_BYTES:
-            raise EventTooLongError(f'event over {_MAX_EVENT_BYTES} bytes')
+            raise EventTooLongError(f'event is larger than {_MAX_EVENT_BYTES} bytes')
         for line in lines:
             if line.startswith(_DATA_FIELD):
                 yield line[len(_DATA_FIELD) :].strip()
 
 
 def event(data: bytes) -> bytes:
-    """Return one event."""
+    """Return the encoded event."""
     return b'data: ' + data + b'\n\n'
