--- a/packages/router/src/hitchdeck_router/__init__.py
+++ b/packages/router/src/hitchdeck_router/__init__.py
@@ -1,1 +1,1 @@
-"""Routers: admission, scheduling, dispatch, and the callers' doors."""
+"""Routers: HTTP API, admission, scheduling and dispatch."""
--- a/packages/router/src/hitchdeck_router/context.py
+++ b/packages/router/src/hitchdeck_router/context.py
@@ -1,4 +1,4 @@
-"""What the doors and the dispatch of one router share."""
+"""State shared by the HTTP handlers and the dispatch of a router."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -18,7 +18,17 @@
 
 @dataclass(slots=True)
 class RouterContext:
-    """One router."""
+    """State and components of one router.
+
+    Attributes
+    ----------
+    outcomes
+        Number of requests by handler class and outcome.
+    active
+        Number of requests in flight.
+    leaving
+        Whether the router is draining.
+    """
 
     box: str
     domain: str
--- a/packages/router/src/hitchdeck_router/errors.py
+++ b/packages/router/src/hitchdeck_router/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the router package, each saying what is known of the run."""
+"""Errors of the router package, with what is known about the run."""
 
 from hitchdeck_core.errors import HitchdeckError
 
 
 class RouterError(HitchdeckError):
-    """Base: an answer to the caller, with an HTTP status and a stable code."""
+    """Base of errors that are sent to the caller, with HTTP status and stable code."""
 
     ran = 'not-run'
 
@@ -23,20 +23,20 @@
 
 
 class NotRunError(RouterError):
-    """Raised when a request surely did not run and will not.
+    """Raised when a request has certainly not run and will not run.
 
-    No byte of it went to any upstream.  ``retry_after`` is in seconds.
+    No byte of it was sent to any upstream.  ``retry_after`` is in seconds.
     """
 
 
 class OutcomeUnknownError(RouterError):
-    """Raised when a request may have run, in whole or in part."""
+    """Raised when a request may have run, completely or in part."""
 
     ran = 'unknown'
 
 
 class UpstreamError(HitchdeckError):
-    """Base of what may go wrong with one call to one upstream."""
+    """Base of errors in a call to an upstream."""
 
 
 class UpstreamUnreachedError(UpstreamError):
@@ -44,25 +44,25 @@
 
 
 class UpstreamBrokenError(UpstreamError):
-    """Raised when an answer stopped short, or is not an answer to this call."""
+    """Raised when a response is incomplete, invalid or belongs to another request."""
 
 
 class ResponseTruncatedError(UpstreamError):
-    """Raised when an answer broke after part of it was passed on."""
+    """Raised when a response broke after part of it was forwarded."""
 
 
 class UpstreamRefusedError(UpstreamError):
-    """Raised when an upstream answered with an error status."""
+    """Raised when an upstream refused a request with an error status."""
 
     def __init__(self, status: int, body: bytes) -> None:
-        super().__init__(f'upstream answered {status}')
+        super().__init__(f'upstream responded with status {status}')
         self.status = status
         self.body = body
 
 
 class GrantLostError(HitchdeckError):
-    """Raised when a granted upstream may no longer be used; ask again."""
+    """Raised when a granted upstream may no longer be used; acquire a new slot."""
 
 
 class CallerDisconnectedError(HitchdeckError):
-    """Raised when a caller has closed its connection before anything was sent."""
+    """Raised when the caller disconnected before anything was sent."""
--- a/packages/router/src/hitchdeck_router/fleet/__init__.py
+++ b/packages/router/src/hitchdeck_router/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a router knows of the fleet, and its link to the control group."""
+"""A router's view of the fleet, and its link to the control group."""
--- a/packages/router/src/hitchdeck_router/fleet/directory.py
+++ b/packages/router/src/hitchdeck_router/fleet/directory.py
@@ -1,4 +1,4 @@
-"""Routers and shard holders, as the control group's leader names them."""
+"""Directory of routers and shard assignments, published by the leader."""
 
 from dataclasses import dataclass, field
 
@@ -9,14 +9,14 @@
 
 @dataclass
 class FleetDirectory:
-    """The latest directory; ``changed`` tells of a new one."""
+    """The current directory; ``changed`` is notified on each update."""
 
     routers: dict[Incarnation, RouterEntry] = field(default_factory=dict)
     shards: dict[ShardId, ShardEntry] = field(default_factory=dict)
     changed: Signal = field(default_factory=Signal)
 
     def update(self, news: Directory) -> None:
-        """Take up a whole directory, or what changed since the last one."""
+        """Apply a full directory, or the changes since the last one."""
         if news.full:
             self.routers = {}
             self.shards = {}
@@ -28,7 +28,7 @@
             self.routers[Incarnation(router.incarnation)] = router
         for shard in news.shards:
             known = self.shards.get(ShardId(shard.shard))
-            # A late word of an earlier holder must not displace a later one.
+            # A delayed entry of an earlier epoch must not replace a later one.
             if known is None or known.epoch <= shard.epoch:
                 self.shards[ShardId(shard.shard)] = shard
         self.changed.notify()
--- a/packages/router/src/hitchdeck_router/fleet/index.py
+++ b/packages/router/src/hitchdeck_router/fleet/index.py
@@ -1,4 +1,4 @@
-"""Finds what a selector matches without asking every upstream."""
+"""Label index, for matching selectors without scanning all upstreams."""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -10,14 +10,16 @@
 
 
 class LabelIndex:
-    """Upstreams by each of their labels.
+    """Inverted index from labels to upstreams.
 
-    An upstream's name counts as its label ``name``; it is not indexed, since
-    each would have a set of its own.  The labels are those of the resource
-    and not a copy: thousands of small dicts are most of a router's memory.
+    An upstream's name is matched as its label ``name``, which is not indexed,
+    as each name would need a set of its own.  The labels are shared with the
+    resource instead of copied: thousands of small dicts would take most of a
+    router's memory.
 
     Most selectors have a requirement of the form ``key=value`` or ``key in
-    (...)``; only the upstreams with such a label are looked at for the rest.
+    (...)``; their other requirements are only checked on the upstreams that
+    have such a label.
     """
 
     def __init__(self) -> None:
@@ -25,14 +27,14 @@
         self.names_by_label: dict[tuple[str, str], set[UpstreamName]] = defaultdict(set)
 
     def put(self, name: UpstreamName, labels: Labels) -> None:
-        """Take up an upstream's labels, in place of those it had."""
+        """Add an upstream, or replace its labels."""
         self.remove(name)
         self.labels[name] = labels
         for pair in labels.items():
             self.names_by_label[pair].add(name)
 
     def remove(self, name: UpstreamName) -> None:
-        """Forget an upstream, if it is known."""
+        """Remove an upstream, if it is present."""
         for pair in self.labels.pop(name, {}).items():
             self.names_by_label[pair].discard(name)
             if not self.names_by_label[pair]:
@@ -47,7 +49,7 @@
         }
 
     def all_labels(self, name: UpstreamName) -> Labels:
-        """Return an upstream's labels, its name among them."""
+        """Return an upstream's labels, including its name."""
         return {_NAME_KEY: name, **self.labels[name]}
 
     def _candidates(self, selector: Selector) -> Collection[UpstreamName]:
--- a/packages/router/src/hitchdeck_router/fleet/lease.py
+++ b/packages/router/src/hitchdeck_router/fleet/lease.py
@@ -1,22 +1,21 @@
-"""The router's lease on its configuration."""
+"""A router's lease on its configuration."""
 
 from collections import OrderedDict
 
 from hitchdeck_core.clock import Clock
 
 _DRIFT_FACTOR = 0.95
-"""Part of a lease that its holder relies on; the rest is for clocks that run
-at different rates."""
+"""Fraction of a lease that its holder uses; the rest allows for clock drift."""
 
 _MAX_PENDING_BEATS = 64
 
 
 class ConfigurationLease:
-    """Leave to admit and dispatch under the present configuration.
+    """Permission to admit and dispatch under the current configuration.
 
-    The lease counts from when the beat that asked for it was *sent*: the
-    leader granted it later than that, so it never outlives what the leader
-    believes, however long the answer took.
+    The lease starts when the beat that requested it was *sent*.  The leader
+    granted it later than that, so that it expires before the leader's record
+    of it, no matter how long the reply took.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -26,7 +25,7 @@
         self.sequence = 0
 
     def next_beat(self) -> int:
-        """Return the number of a beat that is sent now."""
+        """Return the sequence number of a beat, and record that it is sent now."""
         self.sequence += 1
         self.sent_at[self.sequence] = self.now()
         if len(self.sent_at) > _MAX_PENDING_BEATS:
@@ -34,14 +33,14 @@
         return self.sequence
 
     def renew(self, sequence: int, seconds: float) -> None:
-        """Take up a lease that answers a beat."""
+        """Extend the lease by the reply to a beat; ignores unknown beats."""
         sent_at = self.sent_at.pop(sequence, None)
         if sent_at is not None:
             self.expires_at = max(self.expires_at, sent_at + seconds * _DRIFT_FACTOR)
 
     def is_live(self) -> bool:
-        """Tell whether the lease holds at this moment.
+        """Return whether the lease is valid now.
 
-        Ask again after every await: the process may have been frozen there.
+        Check again after every await, as the process may have been suspended.
         """
         return self.now() < self.expires_at
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -1,4 +1,4 @@
-"""The router's stream to the control group's leader."""
+"""A router's stream to the leader of the control group."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 _MIN_RECONNECT_DELAY_SECONDS = 0.1
 _MAX_RECONNECT_DELAY_SECONDS = 1.0
 _RECEIVE_TIMEOUT_SECONDS = 2.5
-"""Seconds without a frame after which the leader is taken for lost."""
+"""Time without a frame after which the connection to the leader is closed."""
 
 _LINK = 'control'
 
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """All that a router knows of the fleet."""
+    """A router's state of the fleet: configuration, lease, directory, quarantine."""
 
     view: FleetView
     lease: ConfigurationLease
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageExchange:
-    """How sums of cost reach and leave this router.
+    """Callbacks that exchange cost sums with the leader.
 
-    ``unreported`` returns what has grown since it was last asked; ``restart``
-    makes it start over; ``apply`` gets other shards' sums and their term.
+    ``unreported`` returns the sums that have grown since the last call;
+    ``restart`` makes it return all sums again; ``apply`` receives the sums of
+    other shards and the leader's term.
     """
 
     unreported: Callable[[], list[UsageSum]]
@@ -66,7 +67,15 @@
 
 
 class ControlLink:
-    """Keeps a stream to whichever control box leads."""
+    """Keeps a stream to the leader of the control group.
+
+    Attributes
+    ----------
+    leader
+        Leader's address as reported by another control box, blank if unknown.
+    quarantine_position
+        Position up to which quarantine updates were sent on this stream.
+    """
 
     def __init__(
         self,
@@ -85,12 +94,12 @@
         self.connected = False
         self.leader = Address('')
         self.leaving = False
-        # What this router learns of upstreams that ended goes out at once.
+        # Crashes that this router detects are sent without delay.
         self.beat_requested = fleet.quarantine.changed
         self.quarantine_position = NOTHING
 
     async def run(self) -> None:
-        """Stay connected to the leader; for ever."""
+        """Stay connected to the leader; never returns."""
         delay = _MIN_RECONNECT_DELAY_SECONDS
         while True:
             address = self.leader or self._next_address()
@@ -102,18 +111,18 @@
             if self.connected:
                 delay = _MIN_RECONNECT_DELAY_SECONDS
             if not self.leader:
-                # Spread out, or a fleet that lost its leader at one moment
-                # would come back to the next one at one moment.
+                # Jitter prevents that all routers reconnect at the same moment
+                # after the loss of a leader.
                 await asyncio.sleep(delay * random.uniform(0.5, 1))
                 delay = min(_MAX_RECONNECT_DELAY_SECONDS, 2 * delay)
 
     def announce_leaving(self) -> None:
-        """Tell the leader at once that this router is to stop."""
+        """Notify the leader without delay that this router is shutting down."""
         self.leaving = True
         self.beat_requested.notify()
 
     def is_leaving(self) -> bool:
-        """Tell whether this router stops or a rule takes it out of service."""
+        """Return whether this router shuts down or a rule drains its box."""
         if self.leaving:
             return True
         return self.fleet.view.box_is_leaving(self.hello.router, self.hello.domain)
@@ -134,7 +143,7 @@
             channel.close()
 
     async def _exchange_frames(self, stream: WatchStream) -> None:
-        # What was told to another leader may have died with it.
+        # Reports to the previous leader may have been lost with it.
         self.usage.restart()
         self.quarantine_position = NOTHING
         await self._send_beat(stream, self.hello)
@@ -144,7 +153,7 @@
                 async with asyncio.timeout(_RECEIVE_TIMEOUT_SECONDS):
                     frame = await stream.recv_message()
                 if frame is None:
-                    raise LinkError('the stream ended')
+                    raise LinkError('the leader closed the stream')
                 if frame.leader_address:
                     self.leader = Address(frame.leader_address)
                     raise LinkError(f'the leader is {frame.leader_address}')
--- a/packages/router/src/hitchdeck_router/fleet/traffic.py
+++ b/packages/router/src/hitchdeck_router/fleet/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of control traffic, by link."""
+"""Counters of control traffic by link."""
 
 from collections import Counter
 from typing import Protocol
@@ -10,10 +10,10 @@
 
 
 class Traffic:
-    """Messages and bytes of control traffic since the process began.
+    """Messages and bytes of control traffic since the process started.
 
-    Bytes are those of the encoded messages; HTTP/2 framing adds some 30 to
-    each.
+    Bytes are the sizes of the encoded messages; HTTP/2 framing adds about 30
+    bytes to each.
     """
 
     def __init__(self) -> None:
@@ -21,6 +21,6 @@
         self.octets: Counter[str] = Counter()
 
     def count(self, link: str, message: _Sized) -> None:
-        """Count one message on a link, sent or received."""
+        """Count one message that was sent or received on a link."""
         self.messages[link] += 1
         self.octets[link] += message.ByteSize()
--- a/packages/router/src/hitchdeck_router/fleet/view.py
+++ b/packages/router/src/hitchdeck_router/fleet/view.py
@@ -1,8 +1,8 @@
-"""The configuration that this router has in force.
+"""The configuration that is in force at this router.
 
-Selectors are evaluated when something changes, not per request: a changed
-upstream is matched against every rule and pool, a changed rule or pool
-against the upstreams that an index of labels offers.
+Selectors are evaluated on changes, not per request: a changed upstream is
+matched against every rule and pool, and a changed rule or pool against the
+candidates from the label index.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,19 @@
 
 
 class FleetView:
-    """Resources at one version, with what the selectors make of them."""
+    """Resources at one version, and the results of their selectors.
+
+    Attributes
+    ----------
+    account_by_key
+        Account by key hash.
+    members
+        Upstreams that each pool selects.
+    leaving_by_rule
+        Upstreams that each rule drains.
+    pools_by_account
+        Cache of the pools that each account may use, cleared on changes.
+    """
 
     def __init__(self) -> None:
         self.version = 0
@@ -41,9 +53,9 @@
         self.pools_by_account: dict[AccountName, tuple[PoolName, ...]] = {}
 
     def apply(self, delta: Delta) -> bool:
-        """Take up a delta; ``False`` if it does not follow this version.
+        """Apply a delta; return ``False`` if it doesn't follow this version.
 
-        A delta that would lead back is refused: configuration never reverts.
+        A delta to an earlier version is refused: configuration never reverts.
         """
         follows = delta.full or delta.from_version == self.version
         if not follows or delta.version < self.version:
@@ -58,11 +70,11 @@
         return True
 
     def is_leaving(self, upstream: UpstreamName) -> bool:
-        """Tell whether a rule takes an upstream out of service."""
+        """Return whether a rule drains an upstream."""
         return any(upstream in chosen for chosen in self.leaving_by_rule.values())
 
     def box_is_leaving(self, box: str, domain: str) -> bool:
-        """Tell whether a rule takes an entry box out of service."""
+        """Return whether a rule drains an entry box."""
         labels = {'name': box, 'domain': domain}
         return any(
             check_selector(rule.boxes).matches(labels)
@@ -71,7 +83,7 @@
         )
 
     def in_service(self, pool: PoolName) -> list[Upstream]:
-        """Return the upstreams of a pool that may get new work."""
+        """Return the upstreams of a pool that accept new requests."""
         return [
             self.upstreams[name]
             for name in self.members.get(pool, ())
@@ -79,19 +91,19 @@
         ]
 
     def may_dispatch(self, pool: PoolName, upstream: UpstreamName) -> bool:
-        """Tell whether an upstream is in a pool and not leaving."""
+        """Return whether an upstream is in a pool and not leaving."""
         return upstream in self.members.get(pool, ()) and not self.is_leaving(
             upstream,
         )
 
     def reachable_pools(self, account: AccountName) -> tuple[PoolName, ...]:
-        """Return the pools that some access rule opens to an account."""
+        """Return the pools that access rules allow an account to use."""
         if account not in self.pools_by_account:
             self.pools_by_account[account] = tuple(self._pools_open_to(account))
         return self.pools_by_account[account]
 
     def urgency_of(self, labels: dict[str, str]) -> Urgency:
-        """Return how soon a request with these labels is needed."""
+        """Return the urgency of a request with these labels."""
         effects = {
             rule.effect
             for rule in self.rules.values()
@@ -120,10 +132,10 @@
                 yield name
 
     def _replace_all(self, delta: Delta) -> None:
-        """Take up a whole configuration: upstreams before what selects them.
+        """Apply a full configuration, upstreams before the selectors.
 
-        One by one, each upstream would be matched against every selector,
-        which at 12,000 upstreams keeps a starting router busy for seconds.
+        Otherwise each upstream would be matched against every selector, which
+        takes seconds at the start of a router with 12,000 upstreams.
         """
         self._remove_all_but(delta.changes)
         others = []
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -1,4 +1,4 @@
-"""Puts a router together, runs it, and stops it without cutting anything."""
+"""Startup and graceful shutdown of a router."""
 
 import asyncio
 import secrets
@@ -48,11 +48,12 @@
     supervisor: Supervisor
 
     async def drain(self) -> None:
-        """Serve on until nobody can be harmed by this router's absence.
+        """Drain the router: keep serving until it can stop without harm.
 
-        First the fleet is told, so that the address is handed out no more
-        and schedulers move; then every answer that names this router ages
-        out; then the last stream ends, or the grace does.
+        The leader is notified, so that this router's address is no longer
+        handed out and its shards move to other routers.  Then it waits until
+        earlier address responses have expired, and finally until the last
+        request has finished or the grace period is over.
         """
         settings = self.context.settings
         self.context.leaving = True
@@ -65,7 +66,7 @@
         await _wait_at_most(idle, settings.stop_grace)
 
     async def stop(self) -> None:
-        """Stop serving and end every task."""
+        """Stop serving and cancel all tasks."""
         self.http.stop()
         await self.http.close_all_connections()
         self.wire.close()
@@ -73,7 +74,7 @@
         self.context.ledger.client.close()
 
     def _has_handed_over(self) -> bool:
-        """Tell whether no shard is here, or nobody is there to take one."""
+        """Return whether no shard is left here, or no router could take one over."""
         if not self.context.host.shards:
             return True
         routers = self.context.fleet.directory.routers.values()
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulingOverrides:
-    """What an experiment may exchange: whose turn it is, how slots are found."""
+    """Ranking and slot finder, which benchmarks replace."""
 
     rank: Rank = least_served
     make_finder: type[SlotFinder] = SlotFinder
@@ -92,9 +93,9 @@
     settings: Settings,
     overrides: SchedulingOverrides | None = None,
 ) -> RouterProcess:
-    """Start the router role of a process."""
+    """Start a router."""
     section = settings.router
-    assert section is not None, 'settings are checked before'
+    assert section is not None, 'settings were validated before'
     supervisor = Supervisor('router')
     context = _make_context(settings, supervisor, overrides or SchedulingOverrides())
     link = _make_link(settings, context)
@@ -117,7 +118,7 @@
     overrides: SchedulingOverrides,
 ) -> RouterContext:
     section = settings.router
-    assert section is not None, 'settings are checked before'
+    assert section is not None, 'settings were validated before'
     incarnation = Incarnation(secrets.token_hex(_INCARNATION_BYTES))
     fleet = Fleet(
         view=FleetView(),
--- a/packages/router/src/hitchdeck_router/serving/__init__.py
+++ b/packages/router/src/hitchdeck_router/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' doors: HTTP handlers on tornado."""
+"""HTTP API of a router, on tornado."""
--- a/packages/router/src/hitchdeck_router/serving/addresses.py
+++ b/packages/router/src/hitchdeck_router/serving/addresses.py
@@ -1,8 +1,8 @@
-"""``GET /v1/addresses``: which entry addresses an account is to use.
+"""``GET /v1/addresses``: the entry addresses of an account.
 
-Shuffle sharding: each account gets a small stable subset of routers, spread
-over failure domains, so that one account's flood does not reach every
-router, and few accounts share all of theirs.
+Shuffle sharding: each account gets a small, stable subset of the routers,
+spread over failure domains.  Overload by one account then doesn't reach every
+router, and few accounts share all of their routers.
 """
 
 from collections.abc import Iterable
@@ -18,9 +18,9 @@
     routers: Iterable[RouterEntry],
     count: int,
 ) -> list[str]:
-    """Return addresses of up to ``count`` routers, the best first.
+    """Return the addresses of up to ``count`` routers, in order of preference.
 
-    The domain of the next one is one that has been taken from least.
+    Each next router is in a failure domain with the fewest chosen so far.
     """
     serving = {one.router: one for one in routers if not one.leaving}
     order = ranked(account, serving)
@@ -40,10 +40,10 @@
 
 
 class AddressesDoor(BaseHandler):
-    """Entry addresses for an account."""
+    """Handler of ``/v1/addresses``."""
 
     async def get(self) -> None:
-        """Answer with addresses and how long they may be kept."""
+        """Return the addresses and their time to live in seconds."""
         await self.run(self._serve())
 
     async def _serve(self) -> None:
--- a/packages/router/src/hitchdeck_router/serving/admission.py
+++ b/packages/router/src/hitchdeck_router/serving/admission.py
@@ -1,4 +1,4 @@
-"""From headers and body to an admitted request, or a clear refusal."""
+"""Validation of request headers and bodies, and access checks."""
 
 import json
 import re
@@ -32,7 +32,7 @@
 
 
 def check_chat_body(body: bytes) -> dict[str, Any]:
-    """Return a chat request's body, or raise ``NotRunError`` naming the flaw."""
+    """Return the decoded chat request; raise ``NotRunError`` if it is invalid."""
     try:
         content = json.loads(body)
     except ValueError as error:
@@ -51,7 +51,7 @@
 
 
 def check_model_pool(view: FleetView, account: AccountName, model: str) -> PoolName:
-    """Return a pool of the model that the account may reach."""
+    """Return a pool that serves the model and that the account may use."""
     serving = [
         name
         for name, pool in view.pools.items()
@@ -67,7 +67,7 @@
 
 
 def check_service_pool(view: FleetView, account: AccountName, name: str) -> PoolName:
-    """Return a pool of plain services that the account may reach."""
+    """Return a pool of plain services, if the account may use it."""
     pool = view.pools.get(PoolName(name))
     if pool is None or pool.serves is not PoolKind.service:
         raise NotRunError(_NOT_FOUND, 'no-pool', f'no service pool {name!r}')
@@ -82,7 +82,7 @@
     pool: PoolName,
     headers: HTTPHeaders,
 ) -> str:
-    """Return the session that the caller names, blank if it names none."""
+    """Return the session named in the headers, blank if there is none."""
     name = headers.get(SESSION_HEADER, '')
     if not name:
         return ''
@@ -102,10 +102,10 @@
     pool: Pool,
     headers: HTTPHeaders,
 ) -> Urgency:
-    """Return how soon the request is needed, by the rules and its labels.
+    """Return the urgency of a request, from the rules and its labels.
 
-    Labels of the request come from its header; those of account and pool
-    take precedence, so that a caller can't pass for another.
+    The labels of account and pool take precedence over those in the request's
+    header, so that a caller can't impersonate another account.
     """
     labels = {
         **_header_labels(headers.get(LABELS_HEADER, '')),
@@ -118,7 +118,7 @@
 
 
 def check_deadline(headers: HTTPHeaders) -> float:
-    """Return the seconds that the caller gives, 0 if it gives none."""
+    """Return the deadline from the headers in seconds, 0 if there is none."""
     text = headers.get(DEADLINE_HEADER, '')
     if not text:
         return 0
@@ -138,9 +138,9 @@
 def check_key(headers: HTTPHeaders, path: str, body: bytes) -> IdempotencyKey | None:
     """Return the idempotency key, ``None`` if there is none.
 
-    A key must say when it was made, as a UUID of version 7 does, or in the
-    form ``<Unix seconds>-<anything>``: a key that is older than the ledger
-    remembers can then be refused instead of run again.
+    A key must contain its creation time, either as a UUID of version 7 or in
+    the form ``<Unix seconds>-<text>``, so that a key older than the ledger's
+    retention can be refused instead of being run again.
     """
     text = headers.get(KEY_HEADER, '')
     if not text:
--- a/packages/router/src/hitchdeck_router/serving/app.py
+++ b/packages/router/src/hitchdeck_router/serving/app.py
@@ -18,15 +18,15 @@
 
 
 class UnknownDoor(BaseHandler):
-    """Any other path."""
+    """Handler of all other paths."""
 
     def prepare(self) -> None:
-        """Answer that there is nothing here."""
+        """Respond with status 404."""
         self.refuse(NotRunError(_NOT_FOUND, 'no-such-path', self.request.path))
 
 
 def start_http(context: RouterContext) -> HTTPServer:
-    """Listen for callers."""
+    """Start the HTTP server."""
     shared = {'context': context}
     application = Application(
         [
@@ -40,7 +40,7 @@
         default_handler_args=shared,
         log_function=log_request,
     )
-    # The doors bound bodies themselves, with an answer that says so.
+    # The handlers enforce the body limit themselves, with an error response.
     server = HTTPServer(
         application,
         max_header_size=_MAX_HEADER_BYTES,
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -1,4 +1,4 @@
-"""What all doors share: bodies, keys, errors, callers that go away."""
+"""Base of the HTTP handlers: bodies, account keys, errors and disconnects."""
 
 import asyncio
 import json
@@ -28,9 +28,9 @@
 _INTERNAL_ERROR = 500
 _ID_BYTES = 12
 _MAX_DISCARDED_BYTES = 16_777_216
-"""Bytes that are read of a body whose refusal was sent, so that its caller gets to
-the answer: a close with unread bytes resets the connection, and a caller that still
-sends then reads nothing."""
+"""Maximum number of bytes read from a body after its refusal was sent.  Closing a
+connection with unread bytes resets it, so that a caller that is still sending would not
+receive the response."""
 _RETRY_AFTER_SECONDS = 1.0
 
 
@@ -38,12 +38,14 @@
 class BaseHandler(RequestHandler):
     """Base of the handlers.
 
-    The body is taken in as it comes, so that one that is too large is
-    refused before it is read.  What comes of it after that is thrown away.
+    The body is received in chunks, so that one that is too large is refused
+    before it is read completely.  The rest of a refused body is discarded.
+
+    The names of subclasses are written out as labels of metrics.
     """
 
     def initialize(self, context: RouterContext) -> None:
-        """Take the router's context."""
+        """Set the router's context and the state of the request."""
         self.context = context
         self.body_buffer = bytearray()
         self.too_large = False
@@ -55,7 +57,7 @@
         self.admitted: AdmittedRequest | None = None
 
     def prepare(self) -> None:
-        """Refuse a body whose announced length is too large."""
+        """Refuse a body whose ``Content-Length`` is too large."""
         self.set_header(REQUEST_HEADER, self.request_id)
         announced = self.request.headers.get('Content-Length', '0')
         if announced.isdigit() and int(announced) > self.context.settings.body_limit:
@@ -63,7 +65,7 @@
             self._refuse_early(self._too_large())
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in a part of the body."""
+        """Receive a chunk of the body."""
         if self._headers_written:
             self._discard(chunk)
             return
@@ -73,13 +75,13 @@
         self.body_buffer += chunk
 
     def on_connection_close(self) -> None:
-        """Stop the work for a caller who went away."""
+        """Cancel the request of a caller that disconnected."""
         self.disconnected = True
         if self.work is not None:
             self.work.cancel()
 
     def has_disconnected(self) -> bool:
-        """Tell whether the caller has closed, by what its socket holds now."""
+        """Return whether the caller has disconnected, by checking its socket."""
         connection = self.request.connection
         if self.disconnected or not isinstance(connection, HTTP1Connection):
             return self.disconnected
@@ -87,9 +89,9 @@
         return stream.closed() or has_ended(stream.socket)
 
     async def run(self, work: Awaitable[None]) -> None:
-        """Do the work of a request, and turn its errors into answers."""
+        """Run a request, and turn its errors into error responses."""
         if self._headers_written:
-            # The request was refused before its body had come.
+            # The request was refused before its body had arrived.
             self.finish()
             return
         self.context.active += 1
@@ -107,19 +109,19 @@
             self.context.active -= 1
 
     def check_body(self) -> bytes:
-        """Return the body, or raise ``NotRunError`` if it was too large."""
+        """Return the body; raise ``NotRunError`` if it was too large."""
         if self.too_large:
             raise self._too_large()
         return bytes(self.body_buffer)
 
     def check_account(self) -> AccountName:
-        """Return the account whose key the caller shows.
+        """Return the account of the key in the ``Authorization`` header.
 
         Raises
         ------
         NotRunError
-            There is no such key, or this router's configuration is not
-            known to be in force, so that no key can be judged.
+            There is no such key, or this router's configuration lease has
+            expired, so that keys can't be checked.
         """
         self.check_configured()
         shown = self.request.headers.get('Authorization', '')
@@ -132,17 +134,17 @@
         return account
 
     def check_configured(self) -> None:
-        """Raise ``NotRunError`` unless the configuration is in force."""
+        """Raise ``NotRunError`` unless the configuration lease is valid."""
         if not self.context.fleet.lease.is_live():
             raise NotRunError(
                 _UNAVAILABLE,
                 'no-configuration-lease',
-                'this router is cut off from the control group',
+                'this router has lost contact with the control group',
                 _RETRY_AFTER_SECONDS,
             )
 
     def refuse(self, error: RouterError) -> None:
-        """Answer with an error, as the API's clients expect it."""
+        """Send an error in the API's format, also within a started stream."""
         self.record_outcome(error.ran)
         if self._finished:
             return
@@ -155,17 +157,17 @@
         self.finish(content)
 
     def respond_internal_error(self) -> None:
-        """Answer that this router itself failed; it can't say how far."""
-        error = RouterError(_INTERNAL_ERROR, 'internal', 'the router failed')
+        """Send an internal error, for which the outcome is unknown."""
+        error = RouterError(_INTERNAL_ERROR, 'internal', 'internal error in the router')
         error.ran = 'unknown'
         self.refuse(error)
 
     def record_outcome(self, ran: str) -> None:
-        """Count how a request ended."""
+        """Count the outcome of a request."""
         self.context.outcomes[type(self).__name__, ran] += 1
 
     def write_error(self, status_code: int, **_: Any) -> None:
-        """Answer what tornado itself refuses, in the same shape."""
+        """Send errors that tornado itself detects in the API's format."""
         self.finish(
             error_content(
                 NotRunError(status_code, 'bad-request', self._reason),
@@ -173,10 +175,10 @@
         )
 
     def log_exception(self, *_: Any) -> None:
-        """Leave the logging to ``run``."""
+        """Log nothing, as ``run`` logs errors."""
 
     def _refuse_early(self, error: RouterError) -> None:
-        """Answer now, and end the answer when the whole body has come."""
+        """Send the error now; the response is finished after the complete body."""
         self.record_outcome(error.ran)
         self._set_error_headers(error)
         content = json.dumps(error_content(error)).encode()
@@ -200,11 +202,13 @@
 
     def _too_large(self) -> NotRunError:
         limit = self.context.settings.body_limit
-        return NotRunError(_TOO_LARGE, 'too-large', f'body over {limit} bytes')
+        return NotRunError(
+            _TOO_LARGE, 'too-large', f'body is larger than {limit} bytes'
+        )
 
 
 def error_content(error: RouterError) -> dict[str, Any]:
-    """Return the error object of the OpenAI API, with what ran."""
+    """Return the error object of the OpenAI API, with the field ``ran``."""
     return {
         'error': {
             'message': error.reason,
@@ -217,7 +221,7 @@
 
 
 def log_request(handler: RequestHandler) -> None:
-    """Log one request as tornado finishes it."""
+    """Log a finished request."""
     if not isinstance(handler, BaseHandler):
         return
     logs.info(
--- a/packages/router/src/hitchdeck_router/serving/chat.py
+++ b/packages/router/src/hitchdeck_router/serving/chat.py
@@ -1,4 +1,4 @@
-"""``POST /v1/chat/completions``, streamed and whole."""
+"""``POST /v1/chat/completions``, with and without streaming."""
 
 import asyncio
 import json
@@ -24,10 +24,10 @@
 
 
 class ChatDoor(BaseHandler):
-    """Chat completions."""
+    """Handler of chat completions."""
 
     def initialize(self, context: RouterContext) -> None:
-        """Take the router's context."""
+        """Set the router's context and the state of the request."""
         super().initialize(context)
         self.streaming = False
 
@@ -79,8 +79,8 @@
     ) -> ChatResponse:
         if admitted.key is None:
             return await run_chat(self.context, admitted, body, self._deliver)
-        # A claimed run goes on without its caller: who asks again under the
-        # same key is to find the answer.
+        # A claimed run continues after its caller disconnects, so that a retry
+        # with the same key gets the response.
         running = asyncio.ensure_future(self._run_claimed(admitted, body))
         return await asyncio.shield(running)
 
@@ -161,7 +161,7 @@
 
 
 def _as_chunk(completion: dict[str, Any]) -> dict[str, Any]:
-    """Return a kept answer as the one chunk of a stream."""
+    """Return a stored response as a single stream chunk."""
     choice = completion['choices'][0]
     return {
         **completion,
--- a/packages/router/src/hitchdeck_router/serving/replay.py
+++ b/packages/router/src/hitchdeck_router/serving/replay.py
@@ -1,4 +1,4 @@
-"""Answers that the ledger kept."""
+"""Replay of responses stored in the ledger."""
 
 from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
 from hitchdeck_router.errors import OutcomeUnknownError, RouterError
@@ -8,30 +8,30 @@
 
 
 class ResponseNotStoredError(RouterError):
-    """Raised when a request ran, but its answer was too large to keep."""
+    """Raised when a request has run, but its response was too large to store."""
 
     ran = 'ran'
 
 
 def check_replayable(stored: StoredResponse) -> None:
-    """Raise the error that stands in the place of a kept answer, if any.
+    """Raise an error if a stored outcome has no response to replay.
 
     Raises
     ------
     OutcomeUnknownError
-        The earlier run ended without anybody knowing how.
+        The outcome of the earlier run is unknown.
     AnswerNotKeptError
-        It ran, and its answer is gone.
+        The request has run, and its response was not stored.
     """
     if stored.ran is not RunStatus.ran:
         raise OutcomeUnknownError(
             _CONFLICT,
             'outcome-unknown',
-            'a request with this key was sent on; how it ended is not known',
+            'a request with this key was dispatched; its outcome is unknown',
         )
     if not stored.body and stored.content_type:
         raise ResponseNotStoredError(
             _GONE,
             'answer-not-kept',
-            'the request ran; its answer was too large to keep',
+            'the request ran; its response was too large to store',
         )
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -38,22 +38,22 @@
 
 
 class ServiceDoor(BaseHandler):
-    """Calls to plain services."""
+    """Handler of calls to plain services."""
 
     async def get(self, pool: str, path: str) -> None:
-        """Serve a read."""
+        """Serve a call with a safe method."""
         await self.run(self._serve(pool, path))
 
     async def post(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def put(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def delete(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def _serve(self, pool: str, path: str) -> None:
@@ -68,7 +68,7 @@
             if admitted.key is None:
                 await self._run(admitted, request)
             else:
-                # As with chat, a claimed run goes on without its caller.
+                # As for chat, a claimed run continues after its caller disconnects.
                 running = asyncio.ensure_future(self._run(admitted, request))
                 await asyncio.shield(running)
         except ReplayError as error:
@@ -176,7 +176,7 @@
         await self.finish()
 
     def _abort(self) -> None:
-        """Close the connection: a cut answer must not read as a whole one."""
+        """Close the connection, as the truncated response must not look complete."""
         self.record_outcome('unknown')
         if self.request.connection is not None:
             self.request.connection.stream.close()  # type: ignore[attr-defined]
@@ -188,5 +188,5 @@
     raise NotRunError(
         _BAD_REQUEST,
         'key-needed',
-        f'pool {admitted.pool} is not repeatable: send {admission.KEY_HEADER}',
+        f'pool {admitted.pool} is not repeatable: {admission.KEY_HEADER} is required',
     )
--- a/packages/router/src/hitchdeck_router/serving/status.py
+++ b/packages/router/src/hitchdeck_router/serving/status.py
@@ -12,10 +12,10 @@
 
 
 class HealthDoor(BaseHandler):
-    """Whether new callers should come here."""
+    """Handler of ``/healthz``: whether new callers should use this router."""
 
     def get(self) -> None:
-        """Answer 200 while this router admits and stays."""
+        """Respond with 200 if the router admits requests and is not draining."""
         live = self.context.fleet.lease.is_live()
         healthy = live and not self.context.leaving
         self.set_status(_OK if healthy else _UNAVAILABLE)
@@ -31,16 +31,16 @@
 
 
 class MetricsDoor(BaseHandler):
-    """Metrics in the Prometheus text format."""
+    """Handler of ``/metrics``, in the Prometheus text format."""
 
     def get(self) -> None:
-        """Answer with every metric of this process."""
+        """Return all metrics of this process."""
         self.set_header('Content-Type', 'text/plain; version=0.0.4')
         self.finish('\n'.join([*metric_lines(self.context), '']))
 
 
 def metric_lines(context: RouterContext) -> Iterator[str]:
-    """Yield the lines of the metrics page."""
+    """Yield the lines of the metrics."""
     yield from _histogram_lines(context)
     for (door, ran), count in sorted(context.outcomes.items()):
         yield _line('requests_total', count, door=door, outcome=ran)
