--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -100,8 +100,8 @@
     Mechanism(
         'claim before dispatch',
         f'{_ROUTER}/dispatch/attempts.py',
-        'if admitted.key is None:\n        return False\n    kept',
-        'if admitted:\n        return False\n    kept',
+        'if admitted.key is None:\n        return False\n    stored',
+        'if admitted:\n        return False\n    stored',
         'test_one_key_through_every_router_runs_once',
     ),
     Mechanism(
