--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -74,7 +74,7 @@
         Bytes were sent, and no complete response was received.
     ReplayError
         The response of an earlier run is stored.
-    CallerLeftError
+    CallerDisconnectedError
         The caller disconnected before anything was sent.
     """
     context.budget.earn()
--- a/packages/router/src/hitchdeck_router/dispatch/ledger.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ledger.py
@@ -71,7 +71,7 @@
 
         Returns
         -------
-        KeptAnswer or None
+        StoredResponse or None
             ``None`` if the claim was granted, so that this router has to
             dispatch the request once; otherwise the outcome of an earlier run.
 
@@ -115,7 +115,7 @@
     ) -> None:
         """Record the outcome of a claimed run, in the background.
 
-        Until this is committed, retries with the same key are told to wait,
+        Until this is committed, retries with the same key have to wait,
         as the claim is pending.
         """
         body = base64.b64encode(response.body).decode()
--- a/packages/router/src/hitchdeck_router/dispatch/requests.py
+++ b/packages/router/src/hitchdeck_router/dispatch/requests.py
@@ -68,7 +68,7 @@
 
     @property
     def urgency_name(self) -> str:
-        """Name of the class that histograms are kept for."""
+        """Name of the urgency, a label of histograms."""
         return self.urgency.name
 
     def ticket(self, now: float, blocked: Set[UpstreamName]) -> Ticket:
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -60,7 +60,7 @@
     RouterError
         The run failed before anything was delivered; the error says whether it
         may have run.
-    AnswerCutError
+    ResponseTruncatedError
         The response broke after its head was delivered.
     """
     progress = Progress(repeatable=request.repeatable and admitted.key is None)
--- a/packages/router/src/hitchdeck_router/scheduling/host.py
+++ b/packages/router/src/hitchdeck_router/scheduling/host.py
@@ -77,7 +77,8 @@
         Whether the shard has free slots, waiting tickets and upstreams, as
         routers were last notified.
     remote_usage
-        Cost served in other shards, by account, in the leader's ``term``.
+        Cost served in other shards by account, as summed by the leader of term
+        ``remote_usage_term``.
     """
 
     shard: ShardId
--- a/packages/router/src/hitchdeck_router/serving/replay.py
+++ b/packages/router/src/hitchdeck_router/serving/replay.py
@@ -20,7 +20,7 @@
     ------
     OutcomeUnknownError
         The outcome of the earlier run is unknown.
-    AnswerNotKeptError
+    ResponseNotStoredError
         The request has run, and its response was not stored.
     """
     if stored.ran is not RunStatus.ran:
