--- a/bench/settling.py
+++ b/bench/settling.py
@@ -13,13 +13,13 @@
 
 from bench.common import append_row, listed
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import PoolName, UpstreamIncarnation, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.links.records import decode_upstreams, encode_upstream
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.state.registry import Registry
-from hitchdeck_platform.doors import decode_upstream
+from hitchdeck_platform.hub_api import decode_upstream
 
 PERIOD = 1.2
 POOL = PoolName('llm')
@@ -46,7 +46,7 @@
 def view_of(registry: Registry) -> View:
     """Return what decides where requests are sent."""
     return {
-        (one.name, one.address, one.phase, one.silent)
+        (one.name, one.address, one.phase, one.unresponsive)
         for one in registry.records.values()
         if one.phase is not Phase.gone
     }
@@ -134,7 +134,7 @@
         fleet.records_sent = 0
     for place, name in enumerate(names):
         for suspecting in random.sample(fleet.registries[:hubs], 2):
-            suspecting.suspect(LifeId(name))
+            suspecting.suspect(UpstreamIncarnation(name))
         fleet.exchange()
         fleet.hubs[place % hubs].report(
             report(name, 2, address=f'10.0.0.1:{place + 1}')
--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/responses.py
@@ -5,14 +5,14 @@
 
 from hitchdeck_core.ids import RequestId
 from hitchdeck_core.retry_after import RETRY_AFTER
-from hitchdeck_edge.dispatch.exchange import Head
+from hitchdeck_edge.dispatch.upstream_connection import ResponseHead
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Header
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.serving.caller import AnswerHeaders, Caller
+from hitchdeck_edge.model.request_context import RequestContext
+from hitchdeck_edge.serving.caller import CallerConnection, ResponseHeaders
 
-NOT_FORWARDED = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'content-length',
@@ -29,7 +29,7 @@
 anew from the body."""
 
 
-def end_to_end(headers: Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
     """Return the headers that are not of one connection."""
     kept = list(headers)
     named = {
@@ -38,22 +38,22 @@
         if name.lower() == b'connection'
         for token in text.split(b',')
     }
-    dropped = NOT_FORWARDED | named
+    dropped = HOP_BY_HOP_HEADERS | named
     return [(name, text) for name, text in kept if name.lower() not in dropped]
 
 
-def answer_headers(headers: Iterable[Header]) -> AnswerHeaders:
+def response_headers(headers: Iterable[Header]) -> ResponseHeaders:
     """Return an upstream's headers as they go to the caller."""
     return [
         (name.decode('latin-1'), text.decode('latin-1'))
-        for name, text in end_to_end(headers)
+        for name, text in end_to_end_headers(headers)
     ]
 
 
-def refuse(
-    dialect: Dialect,
+def send_refusal(
+    adapter: PlatformAdapter,
     request: RequestId,
-    caller: Caller,
+    caller: CallerConnection,
     refusal: Refusal,
     retry_after: float = 0,
 ) -> None:
@@ -71,62 +71,69 @@
         The caller left before.
     """
     reply = refusal.value
-    headers = echo_headers(dialect, request)
+    headers = request_id_headers(adapter, request)
     seconds = retry_after or reply.retry_after
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
     reason = HTTPStatus(reply.status).phrase
-    caller.answer_briefly(reply.status, reason, headers, reply.why.encode())
+    caller.respond_without_waiting(reply.status, reason, headers, reply.text.encode())
 
 
-def echo_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
+def request_id_headers(
+    adapter: PlatformAdapter, request: RequestId
+) -> list[tuple[str, str]]:
     """Return what an answer of the product's own repeats of a request."""
-    return [(dialect.request_field, request)] if request else []
+    return [(adapter.request_field, request)] if request else []
 
 
-class Answers:
+class FinalResponse:
     """The one final answer to a passage."""
 
-    def __init__(self, dialect: Dialect, passage: Passage, caller: Caller) -> None:
-        self.dialect = dialect
-        self.passage = passage
+    def __init__(
+        self,
+        adapter: PlatformAdapter,
+        context: RequestContext,
+        caller: CallerConnection,
+    ) -> None:
+        self.adapter = adapter
+        self.context = context
         self.caller = caller
         self.outcome = 'open'
 
-    async def pass_on(self, head: Head, body: bytes) -> None:
+    async def forward(self, head: ResponseHead, body: bytes) -> None:
         """Give an upstream's whole answer."""
         self.outcome = 'answered'
-        await self.caller.answer(
+        await self.caller.respond(
             head.status,
             head.reason.decode('latin-1'),
-            answer_headers(head.headers),
+            response_headers(head.headers),
             body,
         )
 
-    def give_up(self, refusal: Refusal, retry_after: float = 0) -> None:
+    def fail(self, refusal: Refusal, retry_after: float = 0) -> None:
         """End a request for which no upstream can be tried any more.
 
         ``retry_after`` is as for a refusal.
         """
         self.outcome = refusal.name
         if self.caller.started:
-            self.caller.break_off()
-        elif self.passage.may_have_run:
-            self._say(HTTPStatus.BAD_GATEWAY)
+            self.caller.abort()
+        elif self.context.may_have_run:
+            self._respond_unknown(HTTPStatus.BAD_GATEWAY)
         else:
-            request = self.passage.call.request
-            refuse(self.dialect, request, self.caller, refusal, retry_after)
+            request = self.context.call.request
+            send_refusal(self.adapter, request, self.caller, refusal, retry_after)
 
-    def run_out_of_time(self) -> None:
+    def time_out(self) -> None:
         """End a request whose time is over."""
         self.outcome = Refusal.time_over.name
         if self.caller.started:
-            self.caller.break_off()
-        elif self.passage.may_have_run:
-            self._say(HTTPStatus.GATEWAY_TIMEOUT)
+            self.caller.abort()
+        elif self.context.may_have_run:
+            self._respond_unknown(HTTPStatus.GATEWAY_TIMEOUT)
         else:
-            self.give_up(Refusal.time_over)
+            self.fail(Refusal.time_over)
 
-    def _say(self, status: HTTPStatus) -> None:
-        headers = echo_headers(self.dialect, self.passage.call.request)
-        self.caller.answer_briefly(status, status.phrase, headers, b'unknown')
+    def _respond_unknown(self, status: HTTPStatus) -> None:
+        headers = request_id_headers(self.adapter, self.context.call.request)
+        self.caller.respond_without_waiting(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -4,30 +4,39 @@
 from http import HTTPStatus
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
+from hitchdeck_core.loop_load import loop_utilization
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
-from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict, verdict_on
-from hitchdeck_edge.dispatch.connections import Connections
-from hitchdeck_edge.dispatch.exchange import Connection, Head, Outgoing
+from hitchdeck_edge.dispatch.attempts import (
+    ActiveRequest,
+    Attempt,
+    AttemptOutcome,
+    outcome_of,
+)
+from hitchdeck_edge.dispatch.connections import ConnectionPool
+from hitchdeck_edge.dispatch.upstream_connection import (
+    Connection,
+    ResponseHead,
+    UpstreamRequest,
+)
 from hitchdeck_edge.errors import (
-    BrokenAnswerError,
-    CallerGoneError,
+    CallerDisconnectedError,
+    IncompleteResponseError,
     NotSentError,
-    NotWantedError,
+    UpstreamNotAcceptingError,
 )
-from hitchdeck_edge.links.placing import SHORT_OF_TIME
-from hitchdeck_edge.model.calls import AnswerMark
-from hitchdeck_edge.model.dialect import Dialect, Forwarding
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.links.placing import OVERLOADED_UTILIZATION
+from hitchdeck_edge.model.adapter import Forwarding, PlatformAdapter
+from hitchdeck_edge.model.calls import ResponseMarks
 from hitchdeck_edge.model.placing import Choice
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.scheduling.chooser import Chooser
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 
-STALE_ANSWERS = 2
+MAX_STALE_RESPONSES = 2
 """Answers to earlier requests that are skipped on one connection."""
 
 
@@ -36,272 +45,276 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         chooser: Chooser,
-        connections: Connections,
+        connections: ConnectionPool,
         quarantine: Quarantine,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
-        self.endings = Endings(quarantine, self._note_crash)
+        self.crash_detector = CrashDetector(quarantine, self._avoid_crashed)
         self.backpressure = chooser.backpressure
         self.domain = chooser.domain
         self.connections = connections
         self.now = now
 
-    async def send(self, service: Service, choice: Choice) -> bool:
+    async def send(self, active: ActiveRequest, choice: Choice) -> bool:
         """Send the request to an upstream; tell whether it was sent."""
-        passage = service.passage
-        attempt = self._open_attempt(passage, choice)
+        context = active.context
+        attempt = self._open_attempt(context, choice)
         connection: Connection | None = None
         try:
-            connection = await self.connections.take(
+            connection = await self.connections.acquire(
                 choice.upstream,
-                sure=not passage.repeatable,
+                fresh=not context.repeatable,
             )
-            if service.caller.has_left():
-                self.connections.put_back(choice.upstream.name, connection)
-                raise CallerGoneError('closed before the request was sent')
-            self._check_wanted(choice, connection)
-            self._send_on(service, attempt, connection)
-            await self._receive(service, attempt, connection)
-        except NotWantedError as error:
+            if active.caller.has_disconnected():
+                self.connections.return_unused(choice.upstream.name, connection)
+                raise CallerDisconnectedError('closed before the request was sent')
+            self._check_accepting(choice, connection)
+            self._send_request(active, attempt, connection)
+            await self._receive(active, attempt, connection)
+        except UpstreamNotAcceptingError as error:
             logs.info(
                 'upstream spared',
-                request=passage.call.request,
+                request=context.call.request,
                 upstream=choice.upstream.name,
                 reason=str(error),
             )
             return False
         except NotSentError as error:
-            service.unreached += 1
-            self._note_unreached(passage, choice, error)
+            active.unreached_count += 1
+            self._record_unreached(context, choice, error)
             return False
-        except BrokenAnswerError as error:
+        except IncompleteResponseError as error:
             attempt.reason = str(error)
         finally:
             self._close_attempt(attempt, connection)
-        self._judge(service, attempt)
+        self._record_outcome(active, attempt)
         return True
 
-    def doubt(self, service: Service, attempt: Attempt) -> None:
+    def check_for_crash(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
-        self.endings.note(
-            upstream.life,
-            service.passage.content,
-            partial(self.connections.reaches, upstream),
+        self.crash_detector.record_broken_response(
+            upstream.incarnation,
+            active.context.fingerprint,
+            partial(self.connections.is_reachable, upstream),
         )
 
-    def leave(self, record: Upstream, newer: Upstream) -> None:
+    def replace(self, record: Upstream, newer: Upstream) -> None:
         """Await nothing of a life that another one has replaced.
 
         Where the address stayed the same, the new life's kernel resets what the
         earlier one left open, and what is open to the new one goes on.
         """
         if record.address == newer.address:
-            self.connections.drop(record.name)
+            self.connections.close_idle(record.name)
         else:
-            self.connections.cut(record.name)
-        self.endings.confirm(record.life)
-        self.backpressure.pass_on(record.name, newer.name)
+            self.connections.abort_all(record.name)
+        self.crash_detector.confirm_crash(record.incarnation)
+        self.backpressure.transfer_backoff(record.name, newer.name)
 
-    def _note_crash(self, life: LifeId) -> None:
+    def _avoid_crashed(self, incarnation: UpstreamIncarnation) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
-        self.placement.health.crash(UpstreamName(life))
+        self.placement.health.record_crash(UpstreamName(incarnation))
 
-    def _open_attempt(self, passage: Passage, choice: Choice) -> Attempt:
+    def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
-        ticket = Ticket(self.placement.books, name, choice.tokens)
+        ticket = OpenWorkEntry(self.placement.open_work, name, choice.tokens)
         number = 0
-        if passage.pool.engine is not None:
+        if context.pool.engine is not None:
             number = self.link.track(choice.ticket, name, choice.tokens)
-        return Attempt(choice, self.now(), ticket, number, passage.may_have_run)
+        return Attempt(choice, self.now(), ticket, number, context.may_have_run)
 
     def _close_attempt(self, attempt: Attempt, connection: Connection | None) -> None:
         attempt.ticket.close()
-        self.link.end(attempt.number)
+        self.link.record_end(attempt.number)
         if connection is None:
             return
-        self.connections.release(attempt.upstream, connection)
+        self.connections.mark_done(attempt.upstream, connection)
         if connection.busy:
             connection.abort()
 
-    def _check_wanted(self, choice: Choice, connection: Connection) -> None:
-        """Raise ``NotWantedError`` if an upstream wants nothing any more.
+    def _check_accepting(self, choice: Choice, connection: Connection) -> None:
+        """Raise ``UpstreamNotAcceptingError`` if an upstream wants nothing any more.
 
         It may have said so while the request waited for the scheduler's answer
         and for a connection.
         """
         name = choice.upstream.name
-        if not self.backpressure.wants_requests(name):
-            self.connections.put_back(name, connection)
-            raise NotWantedError(f'{name} asked for a pause, or leaves')
+        if not self.backpressure.accepts_requests(name):
+            self.connections.return_unused(name, connection)
+            raise UpstreamNotAcceptingError(f'{name} asked for a pause, or leaves')
         if not self.placement.registry.takes_work(choice.upstream):
-            self.connections.put_back(name, connection)
-            raise NotWantedError(f'{name} may get no new work')
+            self.connections.return_unused(name, connection)
+            raise UpstreamNotAcceptingError(f'{name} may get no new work')
 
-    def _send_on(
+    def _send_request(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        self.connections.occupy(attempt.upstream, connection)
-        connection.send(self._outgoing(service.passage, attempt.choice))
-        self._note_sent(service, attempt)
+        self.connections.mark_busy(attempt.upstream, connection)
+        connection.send(self._upstream_request(active.context, attempt.choice))
+        self._record_sent(active, attempt)
 
-    def _outgoing(self, passage: Passage, choice: Choice) -> Outgoing:
+    def _upstream_request(
+        self, context: RequestContext, choice: Choice
+    ) -> UpstreamRequest:
         forwarding = Forwarding(
             upstream=choice.upstream,
-            account=passage.account,
-            seconds_left=max(0, passage.ends - self.now()),
-            last_event=passage.last_event,
-            body_bytes=len(passage.body),
+            account=context.account,
+            seconds_left=max(0, context.deadline - self.now()),
+            last_event=context.last_event,
+            body_bytes=len(context.body),
         )
-        headers = self.dialect.forward_headers(passage.call, forwarding)
-        return Outgoing(
-            passage.call.method,
-            passage.call.target,
+        headers = self.adapter.forward_headers(context.call, forwarding)
+        return UpstreamRequest(
+            context.call.method,
+            context.call.target,
             headers,
-            passage.body,
+            context.body,
         )
 
-    def _note_sent(self, service: Service, attempt: Attempt) -> None:
-        passage = service.passage
-        passage.sent += 1
-        passage.may_have_run = True
-        service.last = attempt
-        prompt = passage.call.prompt
-        if prompt is not None and passage.pool.engine is not None:
-            self.placement.memory.note(attempt.upstream, prompt)
+    def _record_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
+        context = active.context
+        context.sent += 1
+        context.may_have_run = True
+        active.last_attempt = attempt
+        prompt = context.call.prompt
+        if prompt is not None and context.pool.engine is not None:
+            self.placement.prefix_cache.record_prompt(attempt.upstream, prompt)
 
     async def _receive(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._own_head(service.passage, attempt, connection)
+        head = await self._read_matching_head(active.context, attempt, connection)
         attempt.head = head
-        mark = self.dialect.read_answer(head.status, head.headers)
-        attempt.pause = mark.pause
+        mark = self.adapter.read_answer(head.status, head.headers)
+        attempt.backoff = mark.backoff
         attempt.leaving = mark.leaving
-        if mark.other_life:
-            self.placement.health.misplace(attempt.upstream)
+        if mark.other_incarnation:
+            self.placement.health.record_wrong_upstream(attempt.upstream)
         success = HTTPStatus.OK <= head.status < HTTPStatus.MULTIPLE_CHOICES
         if success and not mark.sealed:
-            raise BrokenAnswerError('a success that the upstream does not vouch for')
-        if success and service.passage.route.streams:
-            await self._relay(service, attempt, connection, head)
+            raise IncompleteResponseError(
+                'a success that the upstream does not vouch for'
+            )
+        if success and active.context.route.streams:
+            await self._relay(active, attempt, connection, head)
         else:
             attempt.body = await connection.read_body()
             attempt.ticket.start()
-            attempt.verdict = verdict_on(head, not_run=mark.not_run)
-        self.connections.give_back(attempt.choice.upstream, connection, head.headers)
+            attempt.outcome = outcome_of(head, not_run=mark.not_run)
+        self.connections.keep_alive(attempt.choice.upstream, connection, head.headers)
 
     async def _relay(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
-        head: Head,
+        head: ResponseHead,
     ) -> None:
         def on_event() -> None:
             if attempt.ticket.reading:
-                attempt.first_event = self.now() - attempt.began
-                self._note_start(service.passage, attempt)
+                attempt.first_event = self.now() - attempt.started_at
+                self._record_first_event(active.context, attempt)
 
-        attempt.relayed = True
-        await service.relay.pass_on(connection, head, on_event)
-        attempt.verdict = Verdict.answered
+        attempt.streamed = True
+        await active.relay.forward(connection, head, on_event)
+        attempt.outcome = AttemptOutcome.answered
 
-    def _note_start(self, passage: Passage, attempt: Attempt) -> None:
+    def _record_first_event(self, context: RequestContext, attempt: Attempt) -> None:
         attempt.ticket.start()
-        self.link.start(attempt.number)
-        if busy_part() <= SHORT_OF_TIME:
-            self.placement.measure(attempt.ticket, passage.wanted(self.domain))
+        self.link.record_start(attempt.number)
+        if loop_utilization() <= OVERLOADED_UTILIZATION:
+            self.placement.measure(attempt.ticket, context.placement_query(self.domain))
 
-    async def _own_head(
+    async def _read_matching_head(
         self,
-        passage: Passage,
+        context: RequestContext,
         attempt: Attempt,
         connection: Connection,
-    ) -> Head:
+    ) -> ResponseHead:
         """Return the head of the answer to this very request.
 
         An answer to an earlier one may come late on a kept connection.
         """
-        for _ in range(STALE_ANSWERS):
+        for _ in range(MAX_STALE_RESPONSES):
             head = await connection.read_head()
-            mark = self.dialect.read_answer(head.status, head.headers)
-            self._heed(attempt.upstream, mark)
-            if mark.request in {'', passage.call.request}:
+            mark = self.adapter.read_answer(head.status, head.headers)
+            self._apply_backpressure(attempt.upstream, mark)
+            if mark.request in {'', context.call.request}:
                 return head
             await connection.read_body()
             logs.info(
                 'stale answer skipped',
-                request=passage.call.request,
+                request=context.call.request,
                 answered=mark.request,
             )
-            if not connection.expect_another_answer():
+            if not connection.expect_another_response():
                 break
-        raise BrokenAnswerError('only answers to other requests came')
+        raise IncompleteResponseError('only answers to other requests came')
 
-    def _heed(self, name: UpstreamName, mark: AnswerMark) -> None:
+    def _apply_backpressure(self, name: UpstreamName, mark: ResponseMarks) -> None:
         """Keep to what an upstream asks for in an answer, to whichever request."""
         # 438 requests went to upstreams that had asked this box for a pause,
         # within five seconds of load.
-        self.backpressure.pause(name, mark.pause)
+        self.backpressure.pause(name, mark.backoff)
         # A box in reach of no hub sent 12 of 12 further requests to one that left.
         if mark.leaving:
-            self.backpressure.leave(name)
+            self.backpressure.mark_leaving(name)
 
-    def _judge(self, service: Service, attempt: Attempt) -> None:
+    def _record_outcome(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
-        if attempt.verdict in {Verdict.answered, Verdict.failed}:
-            self.quarantine.note_answer(service.passage.content)
-        if attempt.verdict is Verdict.answered:
-            health.succeed(attempt.upstream, self.now() - attempt.began)
+        if attempt.outcome in {AttemptOutcome.answered, AttemptOutcome.failed}:
+            self.quarantine.record_answer(active.context.fingerprint)
+        if attempt.outcome is AttemptOutcome.answered:
+            health.record_success(attempt.upstream, self.now() - attempt.started_at)
             return
-        if attempt.verdict is Verdict.broken:
-            health.fail(attempt.upstream, attempt.reason)
-            self.link.fail(attempt.upstream)
-            self.doubt(service, attempt)
+        if attempt.outcome is AttemptOutcome.broken:
+            health.record_failure(attempt.upstream, attempt.reason)
+            self.link.report_failure(attempt.upstream)
+            self.check_for_crash(active, attempt)
         else:
-            health.err(attempt.upstream)
-        if attempt.verdict is Verdict.not_run:
-            service.passage.may_have_run = attempt.ran_before
+            health.record_error(attempt.upstream)
+        if attempt.outcome is AttemptOutcome.not_run:
+            active.context.may_have_run = attempt.may_have_run_before
         logs.info(
             'attempt failed',
-            request=service.passage.call.request,
-            content=service.passage.content.hex(),
+            request=active.context.call.request,
+            content=active.context.fingerprint.hex(),
             upstream=attempt.upstream,
-            verdict=attempt.verdict.value,
+            verdict=attempt.outcome.value,
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
-            attempt=service.passage.sent,
-            pause=attempt.pause,
+            attempt=active.context.sent,
+            pause=attempt.backoff,
             leaving=attempt.leaving,
-            decided_by=service.passage.decided_by,
+            decided_by=active.context.decided_by,
         )
 
-    def _note_unreached(
+    def _record_unreached(
         self,
-        passage: Passage,
+        context: RequestContext,
         choice: Choice,
         error: NotSentError,
     ) -> None:
         logs.info(
             'upstream not reached',
-            request=passage.call.request,
+            request=context.call.request,
             upstream=choice.upstream.name,
             reason=str(error),
         )
-        self.placement.health.fail(choice.upstream.name, 'not reached')
-        self.link.fail(choice.upstream.name)
-        self.connections.drop(choice.upstream.name)
+        self.placement.health.record_failure(choice.upstream.name, 'not reached')
+        self.link.report_failure(choice.upstream.name)
+        self.connections.close_idle(choice.upstream.name)
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -4,35 +4,35 @@
 import random
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part, loop_lag
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
-from hitchdeck_edge.dispatch.answers import refuse
-from hitchdeck_edge.dispatch.attempts import Service
+from hitchdeck_core.loop_load import loop_lag, loop_utilization
+from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
-from hitchdeck_edge.errors import CallerGoneError, CallError
+from hitchdeck_edge.dispatch.responses import send_refusal
+from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.document import Route, common_homes
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.document import Route, common_areas
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.serving.caller import Caller
-from hitchdeck_edge.serving.front import Reading
-from hitchdeck_edge.serving.gauges import Gauges
-from hitchdeck_edge.serving.overload import is_short_of_time, should_admit
-from hitchdeck_edge.serving.rejections import Rejections
+from hitchdeck_edge.model.request_context import RequestContext
+from hitchdeck_edge.serving.caller import CallerConnection
+from hitchdeck_edge.serving.caller_server import IncomingRequest
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
+from hitchdeck_edge.serving.metrics import EntryMetrics
+from hitchdeck_edge.serving.overload import is_overloaded, should_admit
+from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
-from hitchdeck_edge.serving.stopping import Stopping
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.fleet_state import FleetState
 
-CALLER_GONE = 'caller gone'
+CALLER_DISCONNECTED = 'caller gone'
 """Outcome of a request whose caller closed its connection first."""
 
-START_SECONDS = 1.2
+DOCUMENT_WAIT_SECONDS = 1.2
 """How long a request waits for the first document at most.  Of 400 requests
 that reached boxes in their first 0.6 s, all were refused, most of them twice."""
 
-START_PART = 0.2
+DOCUMENT_WAIT_FRACTION = 0.2
 """Part of the caller's time that such a wait may take."""
 
 _NO_ID = RequestId('')
@@ -43,136 +43,142 @@
 
     def __init__(
         self,
-        dialect: Dialect,
-        known: Knowledge,
+        adapter: PlatformAdapter,
+        knowledge: FleetState,
         dispatcher: Dispatcher,
-        stopping: Stopping,
+        graceful_stop: GracefulStop,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
-        self.documents = known.documents
+        self.adapter = adapter
+        self.documents = knowledge.documents
         self.dispatcher = dispatcher
-        self.stopping = stopping
+        self.graceful_stop = graceful_stop
         self.now = now
-        self.gauges = Gauges(now)
+        self.metrics = EntryMetrics(now)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rejections = Rejections(now)
-        self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
+        self.rejections = RejectionLog(now)
+        self.shedder = Shedder(
+            adapter.request_field, self._should_admit, self._record_rejection
+        )
 
-    def take(self, reading: Reading) -> None:
+    def start_serving(self, incoming: IncomingRequest) -> None:
         """Start to serve a request that was read."""
         arrived = self.now()
-        caller = Caller(reading.connection)
-        if not self._has_time():
-            self._reject(reading, caller)
+        caller = CallerConnection(incoming.connection)
+        if not self._should_admit():
+            self._reject(incoming, caller)
             return
         task = asyncio.get_running_loop().create_task(
-            self._serve(reading, caller, arrived),
+            self._serve(incoming, caller, arrived),
         )
 
-        def leave() -> None:
+        def cancel_task() -> None:
             task.cancel()
 
-        caller.on_gone = leave
+        caller.on_disconnect = cancel_task
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def is_short_of_time(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Tell whether this box may have to reject requests."""
-        return is_short_of_time(busy_part(), loop_lag())
+        return is_overloaded(loop_utilization(), loop_lag())
 
-    def _has_time(self) -> bool:
-        return should_admit(busy_part(), loop_lag())
+    def _should_admit(self) -> bool:
+        return should_admit(loop_utilization(), loop_lag())
 
-    def _reject(self, reading: Reading, caller: Caller) -> None:
+    def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
         """Reject a request for which this box has no time, and spend none on it.
 
         Its head is not decoded, and no task is made.
         """
-        request = RequestId(reading.headers.get(self.dialect.request_field, ''))
+        request = RequestId(incoming.headers.get(self.adapter.request_field, ''))
         try:
-            refuse(self.dialect, request, caller, Refusal.no_time_here)
-        except CallerGoneError:
-            self.gauges.ended(CALLER_GONE)
+            send_refusal(self.adapter, request, caller, Refusal.no_time_here)
+        except CallerDisconnectedError:
+            self.metrics.record_undispatched(CALLER_DISCONNECTED)
             return
-        self._record(request)
+        self._record_rejection(request)
 
-    def _record(self, request: RequestId) -> None:
-        self.gauges.ended(Refusal.no_time_here.name)
+    def _record_rejection(self, request: RequestId) -> None:
+        self.metrics.record_undispatched(Refusal.no_time_here.name)
         self.rejections.add(request)
 
-    async def _serve(self, reading: Reading, caller: Caller, arrived: float) -> None:
+    async def _serve(
+        self, incoming: IncomingRequest, caller: CallerConnection, arrived: float
+    ) -> None:
         call: Call | None = None
         try:
-            call = self._read(reading)
-            await self._answer(call, reading.body, caller, arrived)
-        except (CallerGoneError, asyncio.CancelledError):
+            call = self._decode(incoming)
+            await self._decide(call, incoming.body, caller, arrived)
+        except (CallerDisconnectedError, asyncio.CancelledError):
             request = call.request if call else _NO_ID
-            self._note_end(request, caller, CALLER_GONE, arrived, call)
+            self._record_end(request, caller, CALLER_DISCONNECTED, arrived, call)
         except Exception as error:
             logs.failure(
                 'request failed',
                 error,
                 request=call.request if call else '',
             )
-            caller.break_off()
+            caller.abort()
 
-    async def _answer(
+    async def _decide(
         self,
         call: Call | None,
         body: bytes,
-        caller: Caller,
+        caller: CallerConnection,
         arrived: float,
     ) -> None:
         if call is not None:
-            await self._decide(call, body, caller, arrived)
+            await self._dispatch(call, body, caller, arrived)
             return
-        refuse(self.dialect, _NO_ID, caller, Refusal.bad_request)
-        self._note_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
+        send_refusal(self.adapter, _NO_ID, caller, Refusal.bad_request)
+        self._record_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
-    def _read(self, reading: Reading) -> Call | None:
-        start = reading.start_line
+    def _decode(self, incoming: IncomingRequest) -> Call | None:
+        start = incoming.start_line
         assert start is not None
-        headers = reading.headers.get_all()
+        headers = incoming.headers.get_all()
         try:
-            return self.dialect.read_call(start.method, start.path, headers)
-        except CallError as error:
+            return self.adapter.read_call(start.method, start.path, headers)
+        except MalformedRequestError as error:
             logs.info('request unreadable', reason=str(error))
             return None
 
-    async def _decide(
+    async def _dispatch(
         self,
         call: Call,
         body: bytes,
-        caller: Caller,
+        caller: CallerConnection,
         arrived: float,
     ) -> None:
         await self._wait_for_document(call, arrived)
         decision = self._admit(call, body, arrived)
         if isinstance(decision, Refusal):
-            refuse(self.dialect, call.request, caller, decision)
-            self._note_end(call.request, caller, decision.name, arrived, call)
+            send_refusal(self.adapter, call.request, caller, decision)
+            self._record_end(call.request, caller, decision.name, arrived, call)
             return
-        self.gauges.opened(decision.route.name)
-        service = self.dispatcher.open(decision, caller)
+        self.metrics.record_admitted(decision.route.name)
+        active = self.dispatcher.open(decision, caller)
         try:
-            await self.dispatcher.serve(service)
-        except (CallerGoneError, asyncio.CancelledError):
+            await self.dispatcher.serve(active)
+        except (CallerDisconnectedError, asyncio.CancelledError):
             # The task that serves this request is cancelled as its caller left.
-            service.answers.outcome = CALLER_GONE
-        self._note_service(service)
+            active.response.outcome = CALLER_DISCONNECTED
+        self._record_service(active)
 
     async def _wait_for_document(self, call: Call, arrived: float) -> None:
         """Wait a little in a box that has just started, rather than refuse.
 
         Callers come back once or twice, and the document is there sooner.
         """
-        patience = call.patience or START_SECONDS
-        until = arrived + min(START_SECONDS, patience * START_PART)
+        patience = call.timeout or DOCUMENT_WAIT_SECONDS
+        until = arrived + min(DOCUMENT_WAIT_SECONDS, patience * DOCUMENT_WAIT_FRACTION)
         while self.documents.document is None and self.now() < until:
             await self.documents.changed.wait(until - self.now())
 
-    def _admit(self, call: Call, body: bytes, arrived: float) -> Passage | Refusal:
+    def _admit(
+        self, call: Call, body: bytes, arrived: float
+    ) -> RequestContext | Refusal:
         document = self.documents.document
         if document is None:
             return Refusal.no_document
@@ -183,14 +189,14 @@
         account = table.account(call.key) if route.needs_key else None
         if route.needs_key and account is None:
             return Refusal.no_key
-        homes = common_homes(route, account)
+        homes = common_areas(route, account)
         if homes is None:
             return Refusal.no_upstream
-        if self._comes_too_late_to_stop(route):
+        if self._would_outlast_stop(route):
             return Refusal.stopping
-        pool = document.pools[_pool_of(route)]
-        patience = min(call.patience or route.time_limit, route.time_limit)
-        return Passage(
+        pool = document.pools[_choose_pool(route)]
+        patience = min(call.timeout or route.time_limit, route.time_limit)
+        return RequestContext(
             call=call,
             body=body,
             route=route,
@@ -198,49 +204,49 @@
             account=account.name if account else None,
             version=document.version,
             arrived=arrived,
-            ends=arrived + patience,
+            deadline=arrived + patience,
             last_event=call.last_event,
             areas=homes,
         )
 
-    def _comes_too_late_to_stop(self, route: Route) -> bool:
-        longest = min(self.gauges.longest_seconds(route.name), route.time_limit)
-        return self.stopping.refuses(longest, streams=route.streams)
+    def _would_outlast_stop(self, route: Route) -> bool:
+        longest = min(self.metrics.longest_seconds(route.name), route.time_limit)
+        return self.graceful_stop.should_refuse(longest, streams=route.streams)
 
-    def _note_service(self, service: Service) -> None:
-        passage = service.passage
-        last = service.last
-        seconds = self.now() - passage.arrived
-        self.gauges.served(passage, service.answers.outcome, seconds)
+    def _record_service(self, active: ActiveRequest) -> None:
+        context = active.context
+        last_attempt = active.last_attempt
+        seconds = self.now() - context.arrived
+        self.metrics.record_served(context, active.response.outcome, seconds)
         logs.info(
             'request',
-            request=passage.call.request,
-            route=passage.route.name,
-            account=passage.account,
-            version=passage.version,
-            outcome=service.answers.outcome,
-            status=service.caller.status,
-            upstream=last.upstream if last else '',
-            sent=passage.sent,
-            expected_queue=round(last.choice.queue, 3) if last else 0,
-            decided_by=passage.decided_by,
-            unread=last.choice.tokens if last else 0,
-            first_event=round(last.first_event, 3) if last else 0,
-            goal=passage.route.goal,
+            request=context.call.request,
+            route=context.route.name,
+            account=context.account,
+            version=context.version,
+            outcome=active.response.outcome,
+            status=active.caller.status,
+            upstream=last_attempt.upstream if last_attempt else '',
+            sent=context.sent,
+            expected_queue=round(last_attempt.choice.queue, 3) if last_attempt else 0,
+            decided_by=context.decided_by,
+            unread=last_attempt.choice.tokens if last_attempt else 0,
+            first_event=round(last_attempt.first_event, 3) if last_attempt else 0,
+            goal=context.route.goal,
             seconds=round(seconds, 3),
-            **_content_field(passage, service.answers.outcome),
-            **_size_fields(passage.call),
+            **_quarantine_fields(context, active.response.outcome),
+            **_size_fields(context.call),
         )
 
-    def _note_end(
+    def _record_end(
         self,
         request: RequestId,
-        caller: Caller,
+        caller: CallerConnection,
         outcome: str,
         arrived: float,
         call: Call | None = None,
     ) -> None:
-        self.gauges.ended(outcome)
+        self.metrics.record_undispatched(outcome)
         logs.info(
             'request',
             request=request,
@@ -252,11 +258,11 @@
         )
 
 
-def _content_field(passage: Passage, outcome: str) -> dict[str, object]:
+def _quarantine_fields(context: RequestContext, outcome: str) -> dict[str, object]:
     """Return what leads from a request that is kept away to the ends before it."""
     if outcome != Refusal.quarantined.name:
         return {}
-    return {'content': passage.content.hex()}
+    return {'content': context.fingerprint.hex()}
 
 
 def _size_fields(call: Call) -> dict[str, object]:
@@ -270,12 +276,12 @@
         return {}
     return {
         'prompt': prompt.tokens,
-        'expected_made': prompt.expected_made,
-        'last_part': prompt.parts[-1].part if prompt.parts else '',
+        'expected_made': prompt.expected_output_tokens,
+        'last_part': prompt.parts[-1].part_id if prompt.parts else '',
     }
 
 
-def _pool_of(route: Route) -> PoolName:
+def _choose_pool(route: Route) -> PoolName:
     if len(route.targets) == 1:
         return route.targets[0].pool
     weights = [target.weight for target in route.targets]
--- a/packages/edge/src/hitchdeck_edge/state/knowledge.py
+++ b/packages/edge/src/hitchdeck_edge/state/fleet_state.py
@@ -5,8 +5,8 @@
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.model.adapter import PlatformAdapter
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class FleetState:
     """Configuration, upstreams, open work, and the box's own scheduler.
 
     ``quarantine`` tells which requests may reach no upstream, and why, and
@@ -24,19 +24,21 @@
 
     documents: Documents
     registry: Registry
-    books: Books
+    open_work: OpenWorkTable
     scheduler: Scheduler
     quarantine: Quarantine
     evacuations: Evacuations
 
 
-def new_knowledge(settings: EntrySettings, dialect: Dialect) -> Knowledge:
+def new_fleet_state(settings: EntrySettings, adapter: PlatformAdapter) -> FleetState:
     """Return what an entry box knows when it starts: nothing of the fleet yet."""
     news = Signal()
-    documents = Documents(dialect.read_document, news)
+    documents = Documents(adapter.read_document, news)
     registry = Registry(boot_seconds, news, hears_reports=False)
     scheduler = new_scheduler(settings, documents, registry)
     quarantine = Quarantine(boot_seconds, Signal())
-    books = scheduler.placement.books
+    open_work = scheduler.placement.open_work
     evacuations = Evacuations(domain_closer(registry, documents), news)
-    return Knowledge(documents, registry, books, scheduler, quarantine, evacuations)
+    return FleetState(
+        documents, registry, open_work, scheduler, quarantine, evacuations
+    )
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -85,7 +85,7 @@
         failed = False
         try:
             await _run_granted(context, admitted, progress, grant, run_once)
-            context.fleet.quarantine.note_answer(admitted.fingerprint)
+            context.fleet.quarantine.record_answer(admitted.fingerprint)
             return
         except GrantLostError as error:
             _record_lost_grant(progress, error)
@@ -108,7 +108,7 @@
     progress: Progress,
 ) -> Slot:
     now = context.fleet.now()
-    ticket = admitted.ticket(now, context.backpressure.closed())
+    ticket = admitted.ticket(now, context.backpressure.blocked())
     try:
         check_not_quarantined(context, admitted)
         check_pool_accepting(context, admitted.pool)
--- a/packages/router/src/hitchdeck_router/dispatch/quarantine.py
+++ b/packages/router/src/hitchdeck_router/dispatch/quarantine.py
@@ -3,8 +3,8 @@
 from functools import partial
 
 from hitchdeck_core.clock import wall_seconds
-from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
 from hitchdeck_core.resources import Upstream
@@ -21,25 +21,27 @@
 _UNAVAILABLE = 503
 
 
-def incarnation_of(name: UpstreamName) -> LifeId:
+def incarnation_of(name: UpstreamName) -> UpstreamIncarnation:
     """Return an id for the incarnation of an upstream that crashes now.
 
     It is the same at every router.  If clocks differ, one crash may be counted
     as two incarnations, so that two crashes quarantine a request in place of
     three.
     """
-    return LifeId(f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}')
+    return UpstreamIncarnation(
+        f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}'
+    )
 
 
-def crash_detector_of(quarantine: Quarantine) -> Endings:
+def crash_detector_of(quarantine: Quarantine) -> CrashDetector:
     """Return a crash detector; schedulers learn of failures from reports instead."""
-    return Endings(quarantine, on_end=str)
+    return CrashDetector(quarantine, on_crash=str)
 
 
 def check_not_quarantined(context: RouterContext, admitted: AdmittedRequest) -> None:
     """Raise ``NotRunError`` for a request that has crashed upstreams."""
     # A lethal request that was retried crashed six of six engines, at any router.
-    if context.fleet.quarantine.holds(admitted.fingerprint):
+    if context.fleet.quarantine.is_quarantined(admitted.fingerprint):
         raise NotRunError(
             _UNAVAILABLE,
             'quarantined',
@@ -54,4 +56,6 @@
     """Check whether an upstream that sent no complete response has crashed."""
     probe = partial(accepts_connections, upstream.address)
     incarnation = incarnation_of(UpstreamName(upstream.name))
-    context.endings.note(incarnation, admitted.fingerprint, probe)
+    context.crash_detector.record_broken_response(
+        incarnation, admitted.fingerprint, probe
+    )
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -12,8 +12,8 @@
 from hitchdeck_core.clock import Clock, boot_seconds
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Quarantine
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.hitchdeck_grpc import ControlStub
 from hitchdeck_core.wire.hitchdeck_pb2 import (
@@ -96,7 +96,7 @@
         self.leaving = False
         # Crashes that this router detects are sent without delay.
         self.beat_requested = fleet.quarantine.changed
-        self.quarantine_position = NOTHING
+        self.quarantine_position = SYNC_START
 
     async def run(self) -> None:
         """Stay connected to the leader; never returns."""
@@ -145,7 +145,7 @@
     async def _exchange_frames(self, stream: WatchStream) -> None:
         # Reports to the previous leader may have been lost with it.
         self.usage.restart()
-        self.quarantine_position = NOTHING
+        self.quarantine_position = SYNC_START
         await self._send_beat(stream, self.hello)
         beating = asyncio.create_task(self._send_beats(stream))
         try:
@@ -187,9 +187,11 @@
 
     def _add_quarantine_news(self, beat: RouterBeat) -> None:
         quarantine = self.fleet.quarantine
-        news, self.quarantine_position = quarantine.news_since(self.quarantine_position)
-        if news.casualties or news.verdicts:
-            beat.quarantine.CopyFrom(encode_news(news, quarantine.now()))
+        news, self.quarantine_position = quarantine.update_since(
+            self.quarantine_position
+        )
+        if news.crashes or news.verdicts:
+            beat.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _handle_frame(self, frame: ControlFrame) -> None:
         self.connected = True
@@ -205,8 +207,8 @@
             self.usage.apply(list(frame.usage), int(frame.term))
         if frame.HasField('quarantine'):
             quarantine = self.fleet.quarantine
-            news = decode_news(frame.quarantine, quarantine.now())
-            quarantine.take(news, _LINK)
+            news = decode_update(frame.quarantine, quarantine.now())
+            quarantine.merge(news, _LINK)
         lease = frame.lease
         if frame.HasField('lease') and self.fleet.view.version >= lease.version:
             self.fleet.lease.renew(int(lease.sequence), lease.duration_ms / 1000)
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -10,7 +10,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.backpressure import Backpressure
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.control_client import ControlClient
 from hitchdeck_core.histograms import Histograms
@@ -102,7 +102,7 @@
     wire = await serve(
         [SchedulerService(context.host)],
         section.wire_listen,
-        fleet_only(settings.fleet_token),
+        require_fleet_token(settings.fleet_token),
     )
     http = start_http(context)
     supervisor.permanent('control-link', link.run)
@@ -145,7 +145,7 @@
         ledger=Ledger(client, settings.box, incarnation, supervisor),
         histograms=Histograms(boot_seconds),
         supervisor=supervisor,
-        endings=crash_detector_of(fleet.quarantine),
+        crash_detector=crash_detector_of(fleet.quarantine),
         backpressure=Backpressure(boot_seconds),
     )
 
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -6,14 +6,14 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import HubFrame, Load
-from hitchdeck_edge.dispatch.budget import RepeatBudget
-from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
-from hitchdeck_edge.links.hubs import HubBook
-from hitchdeck_edge.scheduling.books import Ticket
+from hitchdeck_edge.dispatch.budget import RetryBudget
+from hitchdeck_edge.links.entry import DIGEST_TTL_SECONDS, EntryLink
+from hitchdeck_edge.links.known_hubs import KnownHubs
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import Evacuations
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.fleet_state import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_platform.documents import read_document
 from tests.common.scheduling import FakeClock, scheduler_of
@@ -28,10 +28,10 @@
 def link_of(clock: FakeClock) -> EntryLink:
     """Return the link of a box that a hub has told of the others."""
     scheduler = scheduler_of(clock, 1)
-    known = Knowledge(
+    known = FleetState(
         Documents(read_document, Signal()),
         scheduler.placement.registry,
-        scheduler.placement.books,
+        scheduler.placement.open_work,
         scheduler,
         Quarantine(clock, Signal()),
         Evacuations(lambda _domains: None, Signal()),
@@ -45,13 +45,13 @@
     link = EntryLink(
         settings,
         known,
-        RepeatBudget(0.2, 50, 10, clock),
+        RetryBudget(0.2, 50, 10, clock),
         ReliefTargets(clock),
     )
-    book = HubBook('box', 'a', [HUB], clock)
-    book.reach(HUB)
+    book = KnownHubs('box', 'a', [HUB], clock)
+    book.mark_reachable(HUB)
     others = [Load(upstream=ENGINE, running=TOGETHER - OWN)]
-    link.attendance(book).accept(HUB, HubFrame(boxes=BOXES, loads=others))
+    link.stream_handlers(book).on_frame(HUB, HubFrame(boxes=BOXES, loads=others))
     return link
 
 
@@ -59,9 +59,9 @@
     ('seconds', 'running'),
     [
         (0, TOGETHER),
-        (DIGEST_SECONDS - 0.1, TOGETHER),
+        (DIGEST_TTL_SECONDS - 0.1, TOGETHER),
         # Nothing is known of the others any more: they may do as this one does.
-        (DIGEST_SECONDS + 0.1, OWN * BOXES),
+        (DIGEST_TTL_SECONDS + 0.1, OWN * BOXES),
     ],
 )
 def test_a_box_that_lost_its_hub_goes_by_the_last_sum_of_the_others(
@@ -71,9 +71,9 @@
     """The one box left of a flooded domain multiplied its own queue by the fleet."""
     clock = FakeClock()
     link = link_of(clock)
-    books = link.known.books
+    open_work = link.known.open_work
     for _ in range(OWN):
-        Ticket(books, ENGINE, 100)
+        OpenWorkEntry(open_work, ENGINE, 100)
     clock.seconds += seconds
-    link.lose(HUB)
-    assert books.running(ENGINE) == running
+    link.on_loss(HUB)
+    assert open_work.running(ENGINE) == running
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -20,7 +20,7 @@
 
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.ids import UpstreamName
-from hitchdeck_edge.dispatch.exchange import Connection
+from hitchdeck_edge.dispatch.upstream_connection import Connection
 from hitchdeck_edge.model.upstreams import Upstream
 from standins.platform_site import Site, running_site
 from standins.platform_worker import Fault, Worker
@@ -138,17 +138,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = site.boxes[0].admission.dispatcher.sender
-    take = sender.connections.take
+    take = sender.connections.acquire
     told: list[str] = []
 
-    async def take_while_told(upstream: Upstream, *, sure: bool) -> Connection:
-        connection = await take(upstream, sure=sure)
+    async def take_while_told(upstream: Upstream, *, fresh: bool) -> Connection:
+        connection = await take(upstream, fresh=fresh)
         if not told:
             told.append(upstream.name)
             sender.backpressure.pause(upstream.name, PAUSE)
         return connection
 
-    monkeypatch.setattr(sender.connections, 'take', take_while_told)
+    monkeypatch.setattr(sender.connections, 'acquire', take_while_told)
     assert await ask_often(site, pool, 1, 'r') == [200]
     seen = {worker.life: len(worker.seen) for worker in of_pool(site, pool)}
     assert seen.pop(told[0]) == 0
@@ -160,7 +160,7 @@
     assert await ask_often(site, 'app', 1, 'r') == [503]
     box = site.boxes[0]
     async with asyncio.timeout(10):
-        while 'hitchdeck_upstreams_unwilling 2' not in box.admission.gauges.text():
+        while 'hitchdeck_upstreams_unwilling 2' not in box.admission.metrics.render():
             await asyncio.sleep(0.02)
 
 
@@ -190,8 +190,8 @@
     for seconds in asked:
         backpressure.pause(FIRST, seconds)
     clock.seconds += later
-    assert backpressure.wants_requests(FIRST) == wants
-    assert backpressure.wants_requests(NEXT)
+    assert backpressure.accepts_requests(FIRST) == wants
+    assert backpressure.accepts_requests(NEXT)
 
 
 def test_a_life_that_asked_before_it_was_known_gets_its_pause() -> None:
@@ -200,8 +200,8 @@
     backpressure = Backpressure(clock)
     backpressure.pause(FIRST, 3)
     clock.seconds += 1
-    backpressure.pass_on(FIRST, NEXT)
-    backpressure.keep([NEXT])
-    assert backpressure.closed() == {NEXT}
+    backpressure.transfer_backoff(FIRST, NEXT)
+    backpressure.retain([NEXT])
+    assert backpressure.blocked() == {NEXT}
     clock.seconds += 2.1
-    assert not backpressure.closed()
+    assert not backpressure.blocked()
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -11,25 +11,25 @@
 
 from hitchdeck_core.ids import Address
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello
-from hitchdeck_edge.hub.attendees import (
-    MOST_RELIEF,
-    RELIEF_FROM,
-    RELIEF_UP_TO,
-    Attendee,
-    Attendees,
+from hitchdeck_edge.hub.connected_boxes import (
+    MAX_RELIEF_TARGETS,
+    RELIEF_TARGET_UTILIZATION,
+    RELIEF_UTILIZATION,
+    ConnectedBox,
+    ConnectedBoxes,
 )
 from hitchdeck_edge.process import EntryBox
-from hitchdeck_edge.serving import front, handoff
+from hitchdeck_edge.serving import caller_server, handoff
 from hitchdeck_edge.serving.handoff import (
     GREETING,
-    HANDOFF_ALL,
-    HANDOFF_FROM,
-    FarPump,
+    HANDOFF_FULL,
+    HANDOFF_START,
+    TargetEnd,
     should_hand_off,
 )
 from hitchdeck_edge.state.relief import (
-    DISTRUST_SECONDS,
     TARGETS_TTL_SECONDS,
+    UNREACHABLE_SECONDS,
     ReliefTargets,
 )
 from standins.platform_site import Site, generation, running_site
@@ -44,7 +44,7 @@
 @pytest.fixture
 async def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Site]:
     """Return a site whose first box hands every connection on, if it can."""
-    monkeypatch.setattr(front, 'should_hand_off', lambda _busy: True)
+    monkeypatch.setattr(caller_server, 'should_hand_off', lambda _busy: True)
     # Beside other work a box that runs may take longer to greet.
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', WAIT_SECONDS)
     async with running_site(tmp_path, hubs=1, boxes=2) as running:
@@ -60,16 +60,16 @@
 def hand_on(site: Site) -> tuple[EntryBox, EntryBox]:
     """Let the first box know of the second; return both."""
     first, second = site.boxes
-    first.door.handoff.targets.offer([second.settings.relief_listen or ''])
+    first.caller_server.handoff.targets.offer([second.settings.relief_listen or ''])
     return first, second
 
 
-def far_ends(box: EntryBox) -> list[FarPump]:
-    return [one for one in box.door.handoff.open if isinstance(one, FarPump)]
+def far_ends(box: EntryBox) -> list[TargetEnd]:
+    return [one for one in box.caller_server.handoff.open if isinstance(one, TargetEnd)]
 
 
 def outcomes(box: EntryBox) -> Counter[str]:
-    return box.admission.gauges.outcomes
+    return box.admission.metrics.outcomes
 
 
 async def test_requests_that_are_handed_on_are_served_elsewhere(site: Site) -> None:
@@ -81,8 +81,8 @@
         assert (await site.ask('/u/x', f'u{number}')).code == 200
     assert not outcomes(first)
     assert outcomes(second).total() == 8
-    await until(lambda: not first.door.handoff.open)
-    assert first.door.handoff.handed == 8
+    await until(lambda: not first.caller_server.handoff.open)
+    assert first.caller_server.handoff.handed_off == 8
 
 
 async def test_a_box_out_of_reach_is_passed_by_and_the_request_served(
@@ -90,11 +90,11 @@
 ) -> None:
     first, second = site.boxes
     gone = free_address()
-    first.door.handoff.targets.offer([gone])
+    first.caller_server.handoff.targets.offer([gone])
     assert (await site.ask('/u/x', 'here')).code == 200
     assert outcomes(first)['answered'] == 1
     assert not outcomes(second)
-    assert first.door.handoff.targets.choose() is None
+    assert first.caller_server.handoff.targets.choose() is None
 
 
 async def test_a_caller_that_leaves_ends_its_request_at_the_other_box(
@@ -109,7 +109,7 @@
     await until(lambda: bool(second.admission.tasks))
     writer.transport.abort()
     await until(lambda: not second.admission.tasks)
-    await until(lambda: not first.door.handoff.open)
+    await until(lambda: not first.caller_server.handoff.open)
 
 
 async def test_a_box_that_stops_waits_for_what_it_relays(site: Site) -> None:
@@ -131,7 +131,7 @@
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', SHORT_SECONDS)
     first, _ = site.boxes
     with listening() as frozen:
-        first.door.handoff.targets.offer([address_of(frozen)])
+        first.caller_server.handoff.targets.offer([address_of(frozen)])
         assert (await site.ask('/u/x', 'here')).code == 200
         assert outcomes(first)['answered'] == 1
         accepted, _ = frozen.accept()
@@ -144,7 +144,7 @@
 ) -> None:
     first, _ = site.boxes
     with listening() as frozen:
-        targets = first.door.handoff.targets
+        targets = first.caller_server.handoff.targets
         targets.offer([address_of(frozen)])
         asking = asyncio.create_task(site.ask('/u/x', 'stuck'))
         accepted, _ = await asyncio.to_thread(frozen.accept)
@@ -155,7 +155,7 @@
             assert (await site.ask('/u/x', 'next')).code == 200
             with pytest.raises(LOST):
                 await asyncio.wait_for(asking, WAIT_SECONDS)
-    assert not first.door.handoff.open
+    assert not first.caller_server.handoff.open
 
 
 def listening() -> socket.socket:
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ('busy', 'chance'), [(0, 0), (HANDOFF_FROM, 0), (HANDOFF_ALL, 1), (1, 1)]
+    ('busy', 'chance'), [(0, 0), (HANDOFF_START, 0), (HANDOFF_FULL, 1), (1, 1)]
 )
 def test_connections_are_handed_on_by_utilization(busy: float, chance: int) -> None:
     assert sum(should_hand_off(busy) for _ in range(50)) == 50 * chance
@@ -181,9 +181,9 @@
     targets.offer(['a:1'])
     targets.offer([])
     assert targets.choose() == 'a:1'
-    targets.distrust(Address('a:1'))
+    targets.mark_unreachable(Address('a:1'))
     assert targets.choose() is None
-    clock.seconds += DISTRUST_SECONDS
+    clock.seconds += UNREACHABLE_SECONDS
     targets.offer(['a:1'])
     clock.seconds += TARGETS_TTL_SECONDS / 2
     assert targets.choose() == 'a:1'
@@ -191,23 +191,27 @@
     assert targets.choose() is None
 
 
-def attending(attendees: Attendees, name: str, domain: str, busy: float) -> Attendee:
+def attending(
+    connected_boxes: ConnectedBoxes, name: str, domain: str, busy: float
+) -> ConnectedBox:
     hello = Hello(
         box=name, domain=domain, entry_address=f'{name}:1', relief_address=f'{name}:2'
     )
-    attendee = attendees.enter(hello)
-    attendees.note(attendee, BoxFrame(ready=True, busy_percent=round(100 * busy)))
-    return attendee
+    connected_box = connected_boxes.register(hello)
+    connected_boxes.record_frame(
+        connected_box, BoxFrame(ready=True, busy_percent=round(100 * busy))
+    )
+    return connected_box
 
 
 def test_a_busy_box_is_told_of_the_idlest_of_its_domain() -> None:
-    attendees = Attendees(FakeClock(), 'a')
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
     for number in range(20):
-        attending(attendees, f'a{number}', 'a', number / 100)
-    attending(attendees, 'full', 'a', RELIEF_UP_TO + 0.1)
-    attending(attendees, 'far', 'b', 0)
-    calm = attending(attendees, 'calm', 'a', RELIEF_FROM)
-    busy = attending(attendees, 'busy', 'a', RELIEF_FROM + 0.1)
-    assert not attendees.relief_for(calm)
-    relief = attendees.relief_for(busy)
-    assert relief == [f'a{number}:2' for number in range(MOST_RELIEF)]
+        attending(connected_boxes, f'a{number}', 'a', number / 100)
+    attending(connected_boxes, 'full', 'a', RELIEF_TARGET_UTILIZATION + 0.1)
+    attending(connected_boxes, 'far', 'b', 0)
+    calm = attending(connected_boxes, 'calm', 'a', RELIEF_UTILIZATION)
+    busy = attending(connected_boxes, 'busy', 'a', RELIEF_UTILIZATION + 0.1)
+    assert not connected_boxes.relief_targets_for(calm)
+    relief = connected_boxes.relief_targets_for(busy)
+    assert relief == [f'a{number}:2' for number in range(MAX_RELIEF_TARGETS)]
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -6,9 +6,9 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.placing import Choice, Wanted
-from hitchdeck_edge.scheduling.pace import DEFAULT_PACE
-from hitchdeck_edge.scheduling.placement import NEAR_WAIT_PART
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
+from hitchdeck_edge.scheduling.engine_speed import DEFAULT_READ_RATE
+from hitchdeck_edge.scheduling.placement import NEAR_WAIT_FRACTION
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.documents import Documents
@@ -33,7 +33,7 @@
     return Scheduler(documents, registry, Shares(4, clock), clock)
 
 
-def place(scheduler: Scheduler, one: Wanted, number: int = 0) -> Choice:
+def place(scheduler: Scheduler, one: PlacementQuery, number: int = 0) -> Choice:
     """Place a request that ends at once, so that no queue grows."""
     decision = scheduler.place(('box', number), one)
     assert isinstance(decision, Choice)
@@ -41,7 +41,7 @@
     return decision
 
 
-def asked(subject: str, domain: str) -> Wanted:
+def asked(subject: str, domain: str) -> PlacementQuery:
     return replace(wanted(subject=subject), domain=domain)
 
 
@@ -54,11 +54,11 @@
         one = replace(wanted(subject=str(number), tokens=tokens), domain=domain)
         scheduler.place(('box', number), replace(one, body_bytes=9000))
     waits = {
-        name: scheduler.placement.books.waiting(name)
+        name: scheduler.placement.open_work.waiting(name)
         for name in scheduler.placement.registry.names()
     }
     # Nearby an engine may have the wait of the preference before others are used.
-    slack = NEAR_WAIT_PART * 0.6 * DEFAULT_PACE + 2 * tokens
+    slack = NEAR_WAIT_FRACTION * 0.6 * DEFAULT_READ_RATE + 2 * tokens
     assert max(waits.values()) - min(waits.values()) <= slack
     assert all(waits.values())
 
@@ -79,9 +79,9 @@
     one = replace(asked('known', 'a'), body_bytes=body_bytes)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 1500)
+            scheduler.add_open((name, 0), name, 1500)
     assert (place(scheduler, one).upstream.domain == 'a') is stays
 
 
@@ -107,9 +107,9 @@
     one = replace(wanted('ann', subject='known'), domain='a', body_bytes=40_000)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 2500)
+            scheduler.add_open((name, 0), name, 2500)
     assert isinstance(scheduler.place(('box', 0), one), Choice)
 
 
@@ -118,5 +118,5 @@
     for number in range(ENGINES):
         for run in range(40):
             name = UpstreamName(f'a{number}')
-            scheduler.enter((name, run), name, 5000)
+            scheduler.add_open((name, run), name, 5000)
     assert place(scheduler, asked('new', 'a')).upstream.domain != 'a'
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.scheduling.shares import even_level
+from hitchdeck_edge.scheduling.shares import fair_share_level
 from tests.common.scheduling import (
     FakeClock,
     account,
@@ -39,7 +39,7 @@
     granted = played(asks, PACE, SECONDS, int(PACE * stated))
     asked = {name: 1000.0 * SECONDS * often for name, often in asks.items()}
     named = {account(name): amount for name, amount in asked.items()}
-    level = even_level(named, PACE * SECONDS)
+    level = fair_share_level(named, PACE * SECONDS)
     for name, amount in asked.items():
         assert granted[name] > 0.8 * min(level, amount)
     assert granted.total() > PACE * SECONDS * 0.95
@@ -54,10 +54,10 @@
     scheduler = scheduler_of(clock, 4)
     offer(scheduler, 4 * PACE)
     for name, tokens in (('large', 160_000), ('small', 8000), ('tiny', 4000)):
-        scheduler.shares.recall(account(name), tokens)
+        scheduler.shares.count_elsewhere(account(name), tokens)
     for number, name in enumerate(arriving({'large': 40, 'small': 2}, clock, 2)):
         key = ('box', number)
         assert isinstance(scheduler.place(key, wanted(name)), Choice)
         scheduler.start(key)
         scheduler.end(key)
-        assert scheduler.shares.standing(account(name)) <= 1
+        assert scheduler.shares.share_used(account(name)) <= 1
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bench.settling import PERIOD, POOL, Fleet, report, view_of
-from hitchdeck_core.ids import InstanceName, LifeId, UpstreamName
+from hitchdeck_core.ids import InstanceName, UpstreamIncarnation, UpstreamName
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.links.records import decode_suspicion, encode_suspicion
 from hitchdeck_edge.state.registry import Registry
@@ -78,7 +78,7 @@
 
     def silence(self, registry: Registry, extra: int) -> None:
         self.clock.seconds += SILENCE_SECONDS * extra / 4
-        registry.silence(SILENCE_SECONDS)
+        registry.mark_unresponsive(SILENCE_SECONDS)
 
     def deliver(self, number: int, *, again: bool) -> None:
         links = self.fleet.links
@@ -97,8 +97,8 @@
 
 
 def suspect(registry: Registry, instance: str) -> None:
-    known = registry.newest_life(InstanceName(instance))
-    registry.suspect(LifeId(known.name if known else instance))
+    known = registry.latest_incarnation(InstanceName(instance))
+    registry.suspect(UpstreamIncarnation(known.name if known else instance))
 
 
 @given(EVENTS, st.integers(0, 2**16))
@@ -122,7 +122,7 @@
     fleet = fleet_of()
     fleet.hubs[0].report(report('e0', 1))
     assert fleet.settle(Random(0), 2 * len(fleet.links))
-    fleet.registries[0].suspect(LifeId('e0'))
+    fleet.registries[0].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     # Another hub hears of the upstream while the suspicion is on its way.
     fleet.registries[1].hear(UpstreamName('e0'))
@@ -144,12 +144,12 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     # Unchanged reports are not passed on: the others still know the first one.
     fleet.hubs[reporter].report(report('e0', 2))
-    fleet.registries[suspecting].suspect(LifeId('e0'))
+    fleet.registries[suspecting].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     fleet.hubs[reporter].report(report('e0', 3))
     for _ in range(2):
         fleet.exchange()
-    silent = [one.serving(POOL)[0].silent for one in fleet.registries]
+    silent = [one.serving(POOL)[0].unresponsive for one in fleet.registries]
     assert not any(silent)
 
 
@@ -159,13 +159,13 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     fleet.links = list(product(range(HUBS), range(HUBS, HUBS + BOXES)))
     fleet.hubs[0].report(report('e0', 2))
-    fleet.registries[1].suspect(LifeId('e0'))
+    fleet.registries[1].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     boxes = fleet.registries[HUBS:]
-    assert all(box.serving(POOL)[0].silent for box in boxes)
+    assert all(box.serving(POOL)[0].unresponsive for box in boxes)
     for suspicion in boxes[0].suspicions_since(0):
         fleet.registries[0].merge_suspicion(
             decode_suspicion(encode_suspicion(suspicion))
         )
     fleet.exchange()
-    assert not any(box.serving(POOL)[0].silent for box in boxes)
+    assert not any(box.serving(POOL)[0].unresponsive for box in boxes)
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -36,9 +36,9 @@
     Mechanism(
         'pre-vote',
         f'{_CONTROL}/raft/election.py',
-        'if not await _wins_round(replica, links, replica.term + 1, pre_vote=True):\n'
+        'if not await _wins_vote(replica, client, replica.term + 1, pre_vote=True):\n'
         '        return\n',
-        'await _wins_round(replica, links, replica.term + 1, pre_vote=True)\n',
+        'await _wins_vote(replica, client, replica.term + 1, pre_vote=True)\n',
         'test_return_after_a_long_cut_does_not_depose',
     ),
     Mechanism(
@@ -64,15 +64,15 @@
     ),
     Mechanism(
         'answers remembered by number',
-        f'{_CONTROL}/machine/machine.py',
-        'remembering.remember(self.state, submission, outcome)',
+        f'{_CONTROL}/machine/state_machine.py',
+        'deduplication.record_outcome(self.state, submission, outcome)',
         'pass',
         'test_resend_gets_the_first_answer',
     ),
     Mechanism(
         'version check of writes',
         f'{_CONTROL}/machine/configuration.py',
-        'if write.based_on not in {None, present}:',
+        'if write.based_on not in {None, current_version}:',
         'if False:',
         'test_one_of_two_racing_writes_wins',
     ),
@@ -155,9 +155,9 @@
     ),
     Mechanism(
         'duties move when their holder is lost',
-        f'{_CONTROL}/fleet/duties.py',
-        'if duty is not None and duty.incarnation in holding:',
-        'if duty is not None:',
+        f'{_CONTROL}/fleet/assignments.py',
+        'if assignment is not None and assignment.incarnation in holders:',
+        'if assignment is not None:',
         'test_loss_of_the_scheduler_loses_no_answer',
     ),
     Mechanism(
