--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -34,10 +34,10 @@
 STOP_POLL_SECONDS = 0.1
 """Between two looks whether a stopping box may end."""
 
-UPKEEP_SECONDS = 2.0
+UPKEEP_INTERVAL_SECONDS = 2.0
 """Between two looks for connections to upstreams that are gone."""
 
-BEHIND_SECONDS = 0.25
+SLOW_TURN_SECONDS = 0.25
 """A turn of the loop from which the log says that this box is behind: half of
 the time after which a caller's close must have stopped its work."""
 
@@ -50,23 +50,23 @@
     link: EntryLink
     book: HubBook
     admission: Admission
-    door: FrontDoor
-    stopping: Stopping
+    caller_server: FrontDoor
+    graceful_stop: Stopping
     supervisor: Supervisor
     servers: list[HTTPServer] = field(default_factory=list)
 
     async def drain(self) -> None:
         """Stop as planned: cut nothing that can end within the grace."""
-        self.stopping.begin()
+        self.graceful_stop.begin()
         self.link.announce(ready=False)
-        self.door.close_after_answers()
+        self.caller_server.close_after_answers()
         logs.info('stopping', open_requests=len(self.admission.tasks))
-        while not self.stopping.may_end(idle=self._is_idle()):
+        while not self.graceful_stop.may_end(idle=self._is_idle()):
             await asyncio.sleep(STOP_POLL_SECONDS)
 
     async def stop(self) -> None:
         """Close the doors and end the tasks."""
-        self.door.stop()
+        self.caller_server.stop()
         for server in self.servers:
             server.stop()
         await self.supervisor.stop()
@@ -75,24 +75,24 @@
         """Tell whether callers may be sent here."""
         return self.link.ready
 
-    async def keep_up(self) -> None:
+    async def run_upkeep(self) -> None:
         """Keep readiness true, close what leads to gone upstreams; for ever."""
         while True:
-            if self.stopping.began is None:
+            if self.graceful_stop.began is None:
                 known = self.link.known.documents.document is not None
                 self.link.announce(ready=known)
-            self._close_gone()
-            self._note_turns()
-            await self.link.known.documents.changed.wait(UPKEEP_SECONDS)
+            self._release_removed_upstreams()
+            self._report_slow_turns()
+            await self.link.known.documents.changed.wait(UPKEEP_INTERVAL_SECONDS)
 
     def _is_idle(self) -> bool:
-        return not (self.admission.tasks or self.door.handoff.open)
+        return not (self.admission.tasks or self.caller_server.handoff.open)
 
-    def _note_turns(self) -> None:
+    def _report_slow_turns(self) -> None:
         """Tell how long this box looked at no socket, where it was long."""
         longest = take_longest_turn()
         self.admission.gauges.longest_turn = longest
-        if longest > BEHIND_SECONDS:
+        if longest > SLOW_TURN_SECONDS:
             logs.warning(
                 'behind its sockets',
                 longest_turn=round(longest, 3),
@@ -100,7 +100,7 @@
                 open_requests=len(self.admission.tasks),
             )
 
-    def _close_gone(self) -> None:
+    def _release_removed_upstreams(self) -> None:
         sender = self.admission.dispatcher.sender
         registry = self.link.known.registry
         for name in registry.gone():
@@ -110,7 +110,7 @@
         sender.backpressure.keep(registry.names())
         self.admission.gauges.unwilling = len(sender.backpressure.closed())
         self.admission.gauges.upstream_changes = registry.changes
-        self.admission.gauges.handed_on = self.door.handoff.handed
+        self.admission.gauges.handed_on = self.caller_server.handoff.handed
 
 
 async def start_entry(settings: EntrySettings, dialect: Dialect) -> EntryBox:
@@ -119,21 +119,21 @@
     seeds = map(Address, settings.seeds)
     book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
     dispatcher = _dispatcher(settings, dialect, knowledge, book)
-    stopping = Stopping(settings.stop_grace, boot_seconds)
-    admission = Admission(dialect, knowledge, dispatcher, stopping, boot_seconds)
+    graceful_stop = Stopping(settings.stop_grace, boot_seconds)
+    admission = Admission(dialect, knowledge, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
         link=EntryLink(settings, knowledge, dispatcher.budget, targets),
         book=book,
         admission=admission,
-        door=FrontDoor(
+        caller_server=FrontDoor(
             admission.take,
             admission.shedder,
             Handoff(targets),
             admission.is_short_of_time,
         ),
-        stopping=stopping,
+        graceful_stop=graceful_stop,
         supervisor=Supervisor('entry'),
     )
     _start(box)
@@ -172,10 +172,10 @@
 def _start(box: EntryBox) -> None:
     settings = box.settings
     host, port = split_address(Address(settings.listen))
-    box.door.listen(listening_socket(host, port))
+    box.caller_server.listen(listening_socket(host, port))
     if settings.relief_listen is not None:
         relief = listening_socket(*split_address(settings.relief_listen))
-        box.door.listen_for_relief(relief)
+        box.caller_server.listen_for_relief(relief)
     ready = ready_page(box.is_ready)
     box.servers.append(listen(ready, Address(settings.ready_listen)))
     if settings.metrics_listen is not None:
@@ -186,7 +186,7 @@
     box.supervisor.permanent('hubs', attendant.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
-    box.supervisor.permanent('upkeep', box.keep_up)
+    box.supervisor.permanent('upkeep', box.run_upkeep)
     chooser = box.admission.dispatcher.chooser
     box.supervisor.permanent('shares', chooser.local.run)
     box.supervisor.permanent('scheduler', chooser.link.run)
--- a/packages/edge/src/hitchdeck_edge/settings.py
+++ b/packages/edge/src/hitchdeck_edge/settings.py
@@ -16,11 +16,11 @@
 from hitchdeck_core.ids import Address
 from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
 
-LEAST_TOKEN = 8
+MIN_TOKEN_LENGTH = 8
 """Characters of a fleet token: a shorter one is soon guessed."""
 
-_LONGEST_HEARTBEAT = 5
-_LONGEST_ELECTION = 60
+_MAX_HEARTBEAT_SECONDS = 5
+_MAX_ELECTION_SECONDS = 60
 
 Check = Callable[[object], object]
 
@@ -35,14 +35,14 @@
     ('retry_share', _not_negative),
     ('retry_extra', _not_negative),
     ('retry_window', _not_negative),
-    ('fleet_token', partial(check_text, least=LEAST_TOKEN)),
+    ('fleet_token', partial(check_text, least=MIN_TOKEN_LENGTH)),
 )
 _HUB_CHECKS: tuple[tuple[str, Check], ...] = (
     ('may_found', check_flag),
     ('disks_lost', _not_negative),
     ('report_period', _positive),
-    ('heartbeat', partial(check_number, above=0, most=_LONGEST_HEARTBEAT)),
-    ('election_timeout', partial(check_number, above=0, most=_LONGEST_ELECTION)),
+    ('heartbeat', partial(check_number, above=0, most=_MAX_HEARTBEAT_SECONDS)),
+    ('election_timeout', partial(check_number, above=0, most=_MAX_ELECTION_SECONDS)),
 )
 
 
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -60,12 +60,12 @@
 def hand_on(site: Site) -> tuple[EntryBox, EntryBox]:
     """Let the first box know of the second; return both."""
     first, second = site.boxes
-    first.door.handoff.targets.offer([second.settings.relief_listen or ''])
+    first.caller_server.handoff.targets.offer([second.settings.relief_listen or ''])
     return first, second
 
 
 def far_ends(box: EntryBox) -> list[FarPump]:
-    return [one for one in box.door.handoff.open if isinstance(one, FarPump)]
+    return [one for one in box.caller_server.handoff.open if isinstance(one, FarPump)]
 
 
 def outcomes(box: EntryBox) -> Counter[str]:
@@ -81,8 +81,8 @@
         assert (await site.ask('/u/x', f'u{number}')).code == 200
     assert not outcomes(first)
     assert outcomes(second).total() == 8
-    await until(lambda: not first.door.handoff.open)
-    assert first.door.handoff.handed == 8
+    await until(lambda: not first.caller_server.handoff.open)
+    assert first.caller_server.handoff.handed == 8
 
 
 async def test_a_box_out_of_reach_is_passed_by_and_the_request_served(
@@ -90,11 +90,11 @@
 ) -> None:
     first, second = site.boxes
     gone = free_address()
-    first.door.handoff.targets.offer([gone])
+    first.caller_server.handoff.targets.offer([gone])
     assert (await site.ask('/u/x', 'here')).code == 200
     assert outcomes(first)['answered'] == 1
     assert not outcomes(second)
-    assert first.door.handoff.targets.choose() is None
+    assert first.caller_server.handoff.targets.choose() is None
 
 
 async def test_a_caller_that_leaves_ends_its_request_at_the_other_box(
@@ -109,7 +109,7 @@
     await until(lambda: bool(second.admission.tasks))
     writer.transport.abort()
     await until(lambda: not second.admission.tasks)
-    await until(lambda: not first.door.handoff.open)
+    await until(lambda: not first.caller_server.handoff.open)
 
 
 async def test_a_box_that_stops_waits_for_what_it_relays(site: Site) -> None:
@@ -131,7 +131,7 @@
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', SHORT_SECONDS)
     first, _ = site.boxes
     with listening() as frozen:
-        first.door.handoff.targets.offer([address_of(frozen)])
+        first.caller_server.handoff.targets.offer([address_of(frozen)])
         assert (await site.ask('/u/x', 'here')).code == 200
         assert outcomes(first)['answered'] == 1
         accepted, _ = frozen.accept()
@@ -144,7 +144,7 @@
 ) -> None:
     first, _ = site.boxes
     with listening() as frozen:
-        targets = first.door.handoff.targets
+        targets = first.caller_server.handoff.targets
         targets.offer([address_of(frozen)])
         asking = asyncio.create_task(site.ask('/u/x', 'stuck'))
         accepted, _ = await asyncio.to_thread(frozen.accept)
@@ -155,7 +155,7 @@
             assert (await site.ask('/u/x', 'next')).code == 200
             with pytest.raises(LOST):
                 await asyncio.wait_for(asking, WAIT_SECONDS)
-    assert not first.door.handoff.open
+    assert not first.caller_server.handoff.open
 
 
 def listening() -> socket.socket:
