--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -10,7 +10,7 @@
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.serving.caller import AnswerHeaders, Caller
+from hitchdeck_edge.serving.caller import CallerConnection, ResponseHeaders
 
 NOT_FORWARDED = frozenset(
     (
@@ -42,7 +42,7 @@
     return [(name, text) for name, text in kept if name.lower() not in dropped]
 
 
-def answer_headers(headers: Iterable[Header]) -> AnswerHeaders:
+def answer_headers(headers: Iterable[Header]) -> ResponseHeaders:
     """Return an upstream's headers as they go to the caller."""
     return [
         (name.decode('latin-1'), text.decode('latin-1'))
@@ -53,7 +53,7 @@
 def refuse(
     dialect: Dialect,
     request: RequestId,
-    caller: Caller,
+    caller: CallerConnection,
     refusal: Refusal,
     retry_after: float = 0,
 ) -> None:
@@ -76,7 +76,7 @@
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
     reason = HTTPStatus(reply.status).phrase
-    caller.answer_briefly(reply.status, reason, headers, reply.why.encode())
+    caller.respond_without_waiting(reply.status, reason, headers, reply.why.encode())
 
 
 def echo_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
@@ -87,7 +87,9 @@
 class Answers:
     """The one final answer to a passage."""
 
-    def __init__(self, dialect: Dialect, passage: Passage, caller: Caller) -> None:
+    def __init__(
+        self, dialect: Dialect, passage: Passage, caller: CallerConnection
+    ) -> None:
         self.dialect = dialect
         self.passage = passage
         self.caller = caller
@@ -96,7 +98,7 @@
     async def pass_on(self, head: Head, body: bytes) -> None:
         """Give an upstream's whole answer."""
         self.outcome = 'answered'
-        await self.caller.answer(
+        await self.caller.respond(
             head.status,
             head.reason.decode('latin-1'),
             answer_headers(head.headers),
@@ -110,7 +112,7 @@
         """
         self.outcome = refusal.name
         if self.caller.started:
-            self.caller.break_off()
+            self.caller.abort()
         elif self.passage.may_have_run:
             self._say(HTTPStatus.BAD_GATEWAY)
         else:
@@ -121,7 +123,7 @@
         """End a request whose time is over."""
         self.outcome = Refusal.time_over.name
         if self.caller.started:
-            self.caller.break_off()
+            self.caller.abort()
         elif self.passage.may_have_run:
             self._say(HTTPStatus.GATEWAY_TIMEOUT)
         else:
@@ -129,4 +131,4 @@
 
     def _say(self, status: HTTPStatus) -> None:
         headers = echo_headers(self.dialect, self.passage.call.request)
-        self.caller.answer_briefly(status, status.phrase, headers, b'unknown')
+        self.caller.respond_without_waiting(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -11,7 +11,7 @@
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.books import Ticket
-from hitchdeck_edge.serving.caller import Caller
+from hitchdeck_edge.serving.caller import CallerConnection
 
 
 class Verdict(Enum):
@@ -66,7 +66,7 @@
     """One request being served: who asked, and what it was answered."""
 
     passage: Passage
-    caller: Caller
+    caller: CallerConnection
     answers: Answers
     relay: Relay
     unreached: int = 0
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -17,7 +17,7 @@
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
-from hitchdeck_edge.serving.caller import Caller
+from hitchdeck_edge.serving.caller import CallerConnection
 
 UNREACHED_MOST = 4
 """Upstreams that may be out of reach in a row before a request is refused."""
@@ -43,7 +43,7 @@
         self.budget = budget
         self.now = now
 
-    def open(self, passage: Passage, caller: Caller) -> Service:
+    def open(self, passage: Passage, caller: CallerConnection) -> Service:
         """Return the service of a request, which is counted from now on."""
         answers = Answers(self.dialect, passage, caller)
         self.budget.count(passage.pool.name)
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -6,7 +6,7 @@
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.dispatch.exchange import Connection, Head
 from hitchdeck_edge.model.passage import Passage
-from hitchdeck_edge.serving.caller import Caller
+from hitchdeck_edge.serving.caller import CallerConnection
 
 
 class Relay:
@@ -16,7 +16,7 @@
     last whole event that the caller has.
     """
 
-    def __init__(self, passage: Passage, caller: Caller) -> None:
+    def __init__(self, passage: Passage, caller: CallerConnection) -> None:
         self.passage = passage
         self.caller = caller
         self.splitter = EventSplitter(passage.last_event)
@@ -37,7 +37,9 @@
         self.splitter.rest = b''
         if not self.caller.started:
             reason = head.reason.decode('latin-1')
-            await self.caller.start(head.status, reason, answer_headers(head.headers))
+            await self.caller.start_response(
+                head.status, reason, answer_headers(head.headers)
+            )
         while piece := await connection.read_data():
             whole = self.splitter.feed(piece)
             if whole:
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -62,7 +62,7 @@
                 choice.upstream,
                 sure=not passage.repeatable,
             )
-            if service.caller.has_left():
+            if service.caller.has_disconnected():
                 self.connections.put_back(choice.upstream.name, connection)
                 raise CallerDisconnectedError('closed before the request was sent')
             self._check_wanted(choice, connection)
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -16,7 +16,7 @@
 from hitchdeck_edge.model.document import Route, common_homes
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.serving.caller import Caller
+from hitchdeck_edge.serving.caller import CallerConnection
 from hitchdeck_edge.serving.front import Reading
 from hitchdeck_edge.serving.gauges import Gauges
 from hitchdeck_edge.serving.overload import is_short_of_time, should_admit
@@ -62,7 +62,7 @@
     def take(self, reading: Reading) -> None:
         """Start to serve a request that was read."""
         arrived = self.now()
-        caller = Caller(reading.connection)
+        caller = CallerConnection(reading.connection)
         if not self._has_time():
             self._reject(reading, caller)
             return
@@ -73,7 +73,7 @@
         def leave() -> None:
             task.cancel()
 
-        caller.on_gone = leave
+        caller.on_disconnect = leave
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -84,7 +84,7 @@
     def _has_time(self) -> bool:
         return should_admit(busy_part(), loop_lag())
 
-    def _reject(self, reading: Reading, caller: Caller) -> None:
+    def _reject(self, reading: Reading, caller: CallerConnection) -> None:
         """Reject a request for which this box has no time, and spend none on it.
 
         Its head is not decoded, and no task is made.
@@ -101,7 +101,9 @@
         self.gauges.ended(Refusal.no_time_here.name)
         self.rejections.add(request)
 
-    async def _serve(self, reading: Reading, caller: Caller, arrived: float) -> None:
+    async def _serve(
+        self, reading: Reading, caller: CallerConnection, arrived: float
+    ) -> None:
         call: Call | None = None
         try:
             call = self._read(reading)
@@ -115,13 +117,13 @@
                 error,
                 request=call.request if call else '',
             )
-            caller.break_off()
+            caller.abort()
 
     async def _answer(
         self,
         call: Call | None,
         body: bytes,
-        caller: Caller,
+        caller: CallerConnection,
         arrived: float,
     ) -> None:
         if call is not None:
@@ -144,7 +146,7 @@
         self,
         call: Call,
         body: bytes,
-        caller: Caller,
+        caller: CallerConnection,
         arrived: float,
     ) -> None:
         await self._wait_for_document(call, arrived)
@@ -235,7 +237,7 @@
     def _note_end(
         self,
         request: RequestId,
-        caller: Caller,
+        caller: CallerConnection,
         outcome: str,
         arrived: float,
         call: Call | None = None,
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -12,10 +12,10 @@
 from hitchdeck_edge.errors import CallerDisconnectedError
 from hitchdeck_edge.serving.overload import should_close
 
-AnswerHeaders = Iterable[tuple[str, str]]
+ResponseHeaders = Iterable[tuple[str, str]]
 
 
-class Caller:
+class CallerConnection:
     """Answers one request, whole or visibly broken.
 
     Attributes
@@ -29,40 +29,42 @@
     def __init__(self, connection: HTTP1Connection) -> None:
         self.connection = connection
         self.started = False
-        self.gone = False
+        self.disconnected = False
         self.status = 0
-        self.on_gone: Callable[[], None] | None = None
-        connection.set_close_callback(self._note_gone)
+        self.on_disconnect: Callable[[], None] | None = None
+        connection.set_close_callback(self._record_disconnect)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell whether the caller has closed, by what its socket holds now.
 
         A loop that is behind learns it too late: a request was sent 1.5 s after
         its caller's close had come.  To ask takes 1 us (mean of 200,000).
         """
         stream = self.connection.stream
-        return self.gone or stream.closed() or has_ended(stream.socket)
+        return self.disconnected or stream.closed() or has_ended(stream.socket)
 
-    async def start(self, status: int, reason: str, headers: AnswerHeaders) -> None:
+    async def start_response(
+        self, status: int, reason: str, headers: ResponseHeaders
+    ) -> None:
         """Send the head of an answer whose body follows in pieces."""
         await self._send_head(status, reason, headers, b'')
 
-    async def answer(
+    async def respond(
         self,
         status: int,
         reason: str,
-        headers: AnswerHeaders,
+        headers: ResponseHeaders,
         body: bytes,
     ) -> None:
         """Send a whole answer."""
         await self._send_head(status, reason, _sized(headers, body), body)
         self.finish()
 
-    def answer_briefly(
+    def respond_without_waiting(
         self,
         status: int,
         reason: str,
-        headers: AnswerHeaders,
+        headers: ResponseHeaders,
         body: bytes,
     ) -> None:
         """Send a whole answer that is short, without waiting for it to go out.
@@ -72,7 +74,7 @@
         CallerGoneError
             The caller left before.
         """
-        if self.gone or self.connection.stream.closed():
+        if self.disconnected or self.connection.stream.closed():
             raise CallerDisconnectedError('closed before the answer')
         self._write_head(status, reason, _sized(headers, body), body)
         self.finish()
@@ -93,10 +95,10 @@
 
     def finish(self) -> None:
         """End the answer as complete."""
-        if not self.gone:
+        if not self.disconnected:
             self.connection.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the answer visibly incomplete: by closing the connection."""
         self.connection.stream.close()
 
@@ -104,7 +106,7 @@
         self,
         status: int,
         reason: str,
-        headers: AnswerHeaders,
+        headers: ResponseHeaders,
         body: bytes,
     ) -> None:
         try:
@@ -116,7 +118,7 @@
         self,
         status: int,
         reason: str,
-        headers: AnswerHeaders,
+        headers: ResponseHeaders,
         body: bytes,
     ) -> Awaitable[None]:
         fields = HTTPHeaders()
@@ -129,11 +131,11 @@
         start = ResponseStartLine('HTTP/1.1', status, reason)
         return self.connection.write_headers(start, fields, body)
 
-    def _note_gone(self) -> None:
-        self.gone = True
-        if self.on_gone is not None:
-            asyncio.get_running_loop().call_soon(self.on_gone)
+    def _record_disconnect(self) -> None:
+        self.disconnected = True
+        if self.on_disconnect is not None:
+            asyncio.get_running_loop().call_soon(self.on_disconnect)
 
 
-def _sized(headers: AnswerHeaders, body: bytes) -> AnswerHeaders:
+def _sized(headers: ResponseHeaders, body: bytes) -> ResponseHeaders:
     return [*headers, ('Content-Length', str(len(body)))]
