--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -131,7 +131,7 @@
             admission.take,
             admission.shedder,
             Handoff(targets),
-            admission.is_short_of_time,
+            admission.is_overloaded,
         ),
         graceful_stop=graceful_stop,
         supervisor=Supervisor('entry'),
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -19,7 +19,7 @@
 from hitchdeck_edge.serving.caller import CallerConnection
 from hitchdeck_edge.serving.front import Reading
 from hitchdeck_edge.serving.gauges import Gauges
-from hitchdeck_edge.serving.overload import is_short_of_time, should_admit
+from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import Rejections
 from hitchdeck_edge.serving.shedding import Shedder
 from hitchdeck_edge.serving.stopping import Stopping
@@ -77,9 +77,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def is_short_of_time(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Tell whether this box may have to reject requests."""
-        return is_short_of_time(busy_part(), loop_lag())
+        return is_overloaded(busy_part(), loop_lag())
 
     def _has_time(self) -> bool:
         return should_admit(busy_part(), loop_lag())
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -44,11 +44,11 @@
 ServeConnection = Callable[[socket.socket], None]
 
 
-def should_hand_off(busy: float) -> bool:
+def should_hand_off(utilization: float) -> bool:
     """Tell whether a box with some utilization hands a new connection on."""
-    if busy <= HANDOFF_FROM:
+    if utilization <= HANDOFF_FROM:
         return False
-    return random.random() < (busy - HANDOFF_FROM) / (HANDOFF_ALL - HANDOFF_FROM)
+    return random.random() < (utilization - HANDOFF_FROM) / (HANDOFF_ALL - HANDOFF_FROM)
 
 
 class Pump(asyncio.Protocol):
--- a/tests/edge/test_overload.py
+++ b/tests/edge/test_overload.py
@@ -5,9 +5,9 @@
 import pytest
 
 from hitchdeck_edge.serving.overload import (
-    LAG_FROM_SECONDS,
-    LAG_UP_TO_SECONDS,
-    ROOM_UP_TO,
+    REJECT_ALL_LAG_SECONDS,
+    REJECT_LAG_SECONDS,
+    REJECT_UTILIZATION,
     should_admit,
 )
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize(
     ('busy', 'part'),
-    [(0, 1), (0.5, 1), (ROOM_UP_TO, 1), (0.95, 0.5), (0.98, 0.2), (1, 0)],
+    [(0, 1), (0.5, 1), (REJECT_UTILIZATION, 1), (0.95, 0.5), (0.98, 0.2), (1, 0)],
 )
 def test_a_box_takes_the_less_the_less_time_it_has_left(
     busy: float,
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize(
     ('lag', 'part'),
-    [(0, 1), (LAG_FROM_SECONDS, 1), (0.2, 0.5), (LAG_UP_TO_SECONDS, 0), (1, 0)],
+    [(0, 1), (REJECT_LAG_SECONDS, 1), (0.2, 0.5), (REJECT_ALL_LAG_SECONDS, 0), (1, 0)],
 )
 def test_a_box_whose_loop_is_behind_takes_less(lag: float, part: float) -> None:
     # Guards against requests that wait in a box until their callers leave.
@@ -53,4 +53,4 @@
     spread = max(settled) - min(settled)
     assert spread < SWING
     assert max(settled) < 1
-    assert min(settled) > min(offered, ROOM_UP_TO) - 0.15
+    assert min(settled) > min(offered, REJECT_UTILIZATION) - 0.15
