--- a/bench/rejections.py
+++ b/bench/rejections.py
@@ -50,7 +50,7 @@
     """Return the processor time of one rejection, in ms."""
     async with running_site(folder) as site:
         box = site.boxes[0]
-        box.caller_server.is_short = lambda: plain
+        box.caller_server.is_overloaded = lambda: plain
         listen = box.settings.listen
         command = ('-m', 'bench.rejections', '--address', listen, '--count', str(count))
         began = time.process_time()
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -24,7 +24,7 @@
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
 from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
-from hitchdeck_edge.serving.front import FrontDoor
+from hitchdeck_edge.serving.front import CallerServer
 from hitchdeck_edge.serving.handoff import Handoff
 from hitchdeck_edge.serving.stopping import Stopping
 from hitchdeck_edge.settings import EntrySettings
@@ -50,7 +50,7 @@
     link: EntryLink
     book: HubBook
     admission: Admission
-    caller_server: FrontDoor
+    caller_server: CallerServer
     graceful_stop: Stopping
     supervisor: Supervisor
     servers: list[HTTPServer] = field(default_factory=list)
@@ -127,7 +127,7 @@
         link=EntryLink(settings, knowledge, dispatcher.budget, targets),
         book=book,
         admission=admission,
-        caller_server=FrontDoor(
+        caller_server=CallerServer(
             admission.take,
             admission.shedder,
             Handoff(targets),
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -17,7 +17,7 @@
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import CallerConnection
-from hitchdeck_edge.serving.front import Reading
+from hitchdeck_edge.serving.front import IncomingRequest
 from hitchdeck_edge.serving.gauges import Gauges
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import Rejections
@@ -59,15 +59,15 @@
         self.rejections = Rejections(now)
         self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
 
-    def take(self, reading: Reading) -> None:
+    def take(self, incoming: IncomingRequest) -> None:
         """Start to serve a request that was read."""
         arrived = self.now()
-        caller = CallerConnection(reading.connection)
+        caller = CallerConnection(incoming.connection)
         if not self._has_time():
-            self._reject(reading, caller)
+            self._reject(incoming, caller)
             return
         task = asyncio.get_running_loop().create_task(
-            self._serve(reading, caller, arrived),
+            self._serve(incoming, caller, arrived),
         )
 
         def leave() -> None:
@@ -84,12 +84,12 @@
     def _has_time(self) -> bool:
         return should_admit(busy_part(), loop_lag())
 
-    def _reject(self, reading: Reading, caller: CallerConnection) -> None:
+    def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
         """Reject a request for which this box has no time, and spend none on it.
 
         Its head is not decoded, and no task is made.
         """
-        request = RequestId(reading.headers.get(self.dialect.request_field, ''))
+        request = RequestId(incoming.headers.get(self.dialect.request_field, ''))
         try:
             refuse(self.dialect, request, caller, Refusal.no_time_here)
         except CallerDisconnectedError:
@@ -102,12 +102,12 @@
         self.rejections.add(request)
 
     async def _serve(
-        self, reading: Reading, caller: CallerConnection, arrived: float
+        self, incoming: IncomingRequest, caller: CallerConnection, arrived: float
     ) -> None:
         call: Call | None = None
         try:
-            call = self._read(reading)
-            await self._answer(call, reading.body, caller, arrived)
+            call = self._read(incoming)
+            await self._answer(call, incoming.body, caller, arrived)
         except (CallerDisconnectedError, asyncio.CancelledError):
             request = call.request if call else _NO_ID
             self._note_end(request, caller, CALLER_GONE, arrived, call)
@@ -132,10 +132,10 @@
         refuse(self.dialect, _NO_ID, caller, Refusal.bad_request)
         self._note_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
-    def _read(self, reading: Reading) -> Call | None:
-        start = reading.start_line
+    def _read(self, incoming: IncomingRequest) -> Call | None:
+        start = incoming.start_line
         assert start is not None
-        headers = reading.headers.get_all()
+        headers = incoming.headers.get_all()
         try:
             return self.dialect.read_call(start.method, start.path, headers)
         except MalformedRequestError as error:
--- a/packages/edge/src/hitchdeck_edge/serving/front.py
+++ b/packages/edge/src/hitchdeck_edge/serving/front.py
@@ -28,13 +28,13 @@
 BODY_BYTES = 16_777_216
 """Largest body, for the same reason."""
 
-Serve = Callable[['Reading'], None]
+Serve = Callable[['IncomingRequest'], None]
 
-IsShort = Callable[[], bool]
+IsOverloaded = Callable[[], bool]
 """Tells whether this box may have to reject requests."""
 
 
-class Reading(HTTPMessageDelegate):
+class IncomingRequest(HTTPMessageDelegate):
     """One request while it is read."""
 
     def __init__(self, connection: HTTP1Connection, serve: Serve) -> None:
@@ -42,7 +42,7 @@
         self.serve = serve
         self.start_line: RequestStartLine | None = None
         self.headers = HTTPHeaders()
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
 
     def headers_received(
         self,
@@ -56,7 +56,7 @@
 
     def data_received(self, chunk: bytes) -> None:
         """Take a piece of the body."""
-        self.pieces.append(chunk)
+        self.chunks.append(chunk)
 
     def finish(self) -> None:
         """Have the whole request served."""
@@ -64,15 +64,15 @@
 
     def on_connection_close(self) -> None:
         """Forget a request whose caller left before its end."""
-        self.pieces = []
+        self.chunks = []
 
     @property
     def body(self) -> bytes:
         """Return the body read so far."""
-        return b''.join(self.pieces)
+        return b''.join(self.chunks)
 
 
-class FrontDoor(HTTPServerConnectionDelegate):
+class CallerServer(HTTPServerConnectionDelegate):
     """Accepts callers' connections."""
 
     def __init__(
@@ -80,15 +80,15 @@
         serve: Serve,
         shedder: Shedder,
         handoff: Handoff,
-        is_short: IsShort,
+        is_overloaded: IsOverloaded,
     ) -> None:
         self.serve = serve
         self.shedder = shedder
         self.shedder.serve = self._serve_connection
         self.handoff = handoff
         self.handoff.serve = self._serve_here
-        self.is_short = is_short
-        self.listening: list[tuple[socket.socket, Callable[[], None]]] = []
+        self.is_overloaded = is_overloaded
+        self.listeners: list[tuple[socket.socket, Callable[[], None]]] = []
         self.server = HTTPServer(
             self,
             max_header_size=HEADER_BYTES,
@@ -109,18 +109,18 @@
     ) -> HTTPMessageDelegate:
         """Read the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
-        return Reading(request_conn, self.serve)
+        return IncomingRequest(request_conn, self.serve)
 
     def on_close(self, server_conn: object) -> None:
         """Note the end of a connection; there is nothing to do."""
 
     def listen(self, sock: socket.socket) -> None:
         """Accept connections on a listening socket."""
-        self.listening.append((sock, add_accept_handler(sock, self._accept)))
+        self.listeners.append((sock, add_accept_handler(sock, self._accept)))
 
     def listen_for_relief(self, sock: socket.socket) -> None:
         """Accept connections that other boxes hand on."""
-        self.listening.append((sock, add_accept_handler(sock, self._accept_relief)))
+        self.listeners.append((sock, add_accept_handler(sock, self._accept_relief)))
 
     def close_after_answers(self) -> None:
         """Have each further answer say that its connection ends with it."""
@@ -128,10 +128,10 @@
 
     def stop(self) -> None:
         """Accept no more connections; the open ones go on."""
-        for sock, stop_accepting in self.listening:
+        for sock, stop_accepting in self.listeners:
             stop_accepting()
             sock.close()
-        self.listening = []
+        self.listeners = []
         self.shedder.close()
         self.handoff.close()
 
@@ -152,7 +152,7 @@
         self._serve_connection(connection, self.relief_server)
 
     def _serve_here(self, connection: socket.socket) -> None:
-        if self.is_short():
+        if self.is_overloaded():
             self.shedder.take(connection)
         else:
             self._serve_connection(connection)
--- a/tests/edge/test_shedding.py
+++ b/tests/edge/test_shedding.py
@@ -85,7 +85,7 @@
 ) -> None:
     async with running_site(tmp_path) as site:
         box = site.boxes[0]
-        box.caller_server.is_short = lambda: True
+        box.caller_server.is_overloaded = lambda: True
         monkeypatch.setattr(
             'hitchdeck_edge.serving.admission.should_admit', lambda *_: case.admits
         )
@@ -119,7 +119,7 @@
 ) -> None:
     async with running_site(tmp_path) as site:
         box = site.boxes[0]
-        box.caller_server.is_short = lambda: True
+        box.caller_server.is_overloaded = lambda: True
         host, _, port = box.settings.listen.rpartition(':')
         for _ in range(5):
             _, writer = await asyncio.open_connection(host, int(port))
