--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -91,7 +91,7 @@
     def _report_slow_turns(self) -> None:
         """Tell how long this box looked at no socket, where it was long."""
         longest = take_longest_turn()
-        self.admission.gauges.longest_turn = longest
+        self.admission.metrics.longest_turn = longest
         if longest > SLOW_TURN_SECONDS:
             logs.warning(
                 'behind its sockets',
@@ -108,9 +108,9 @@
         for record, newer in registry.replaced():
             sender.leave(record, newer)
         sender.backpressure.keep(registry.names())
-        self.admission.gauges.unwilling = len(sender.backpressure.closed())
-        self.admission.gauges.upstream_changes = registry.changes
-        self.admission.gauges.handed_on = self.caller_server.handoff.handed
+        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.closed())
+        self.admission.metrics.upstream_changes = registry.changes
+        self.admission.metrics.handed_off = self.caller_server.handoff.handed
 
 
 async def start_entry(settings: EntrySettings, dialect: Dialect) -> EntryBox:
@@ -179,7 +179,7 @@
     ready = ready_page(box.is_ready)
     box.servers.append(listen(ready, Address(settings.ready_listen)))
     if settings.metrics_listen is not None:
-        figures = metrics_page(box.admission.gauges.text)
+        figures = metrics_page(box.admission.metrics.render)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
     attendance = box.link.attendance(box.book)
     attendant = Attendant(box.book, attendance, settings.fleet_token)
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import CallerConnection
 from hitchdeck_edge.serving.front import IncomingRequest
-from hitchdeck_edge.serving.gauges import Gauges
+from hitchdeck_edge.serving.gauges import EntryMetrics
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import Rejections
 from hitchdeck_edge.serving.shedding import Shedder
@@ -54,7 +54,7 @@
         self.dispatcher = dispatcher
         self.stopping = stopping
         self.now = now
-        self.gauges = Gauges(now)
+        self.metrics = EntryMetrics(now)
         self.tasks: set[asyncio.Task[None]] = set()
         self.rejections = Rejections(now)
         self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
@@ -93,12 +93,12 @@
         try:
             refuse(self.dialect, request, caller, Refusal.no_time_here)
         except CallerDisconnectedError:
-            self.gauges.ended(CALLER_GONE)
+            self.metrics.record_undispatched(CALLER_GONE)
             return
         self._record(request)
 
     def _record(self, request: RequestId) -> None:
-        self.gauges.ended(Refusal.no_time_here.name)
+        self.metrics.record_undispatched(Refusal.no_time_here.name)
         self.rejections.add(request)
 
     async def _serve(
@@ -155,7 +155,7 @@
             refuse(self.dialect, call.request, caller, decision)
             self._note_end(call.request, caller, decision.name, arrived, call)
             return
-        self.gauges.opened(decision.route.name)
+        self.metrics.record_admitted(decision.route.name)
         service = self.dispatcher.open(decision, caller)
         try:
             await self.dispatcher.serve(service)
@@ -206,14 +206,14 @@
         )
 
     def _comes_too_late_to_stop(self, route: Route) -> bool:
-        longest = min(self.gauges.longest_seconds(route.name), route.time_limit)
+        longest = min(self.metrics.longest_seconds(route.name), route.time_limit)
         return self.stopping.refuses(longest, streams=route.streams)
 
     def _note_service(self, service: Service) -> None:
         passage = service.passage
         last = service.last
         seconds = self.now() - passage.arrived
-        self.gauges.served(passage, service.answers.outcome, seconds)
+        self.metrics.record_served(passage, service.answers.outcome, seconds)
         logs.info(
             'request',
             request=passage.call.request,
@@ -242,7 +242,7 @@
         arrived: float,
         call: Call | None = None,
     ) -> None:
-        self.gauges.ended(outcome)
+        self.metrics.record_undispatched(outcome)
         logs.info(
             'request',
             request=request,
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -160,7 +160,7 @@
     assert await ask_often(site, 'app', 1, 'r') == [503]
     box = site.boxes[0]
     async with asyncio.timeout(10):
-        while 'hitchdeck_upstreams_unwilling 2' not in box.admission.gauges.text():
+        while 'hitchdeck_upstreams_unwilling 2' not in box.admission.metrics.render():
             await asyncio.sleep(0.02)
 
 
--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -85,7 +85,7 @@
         assert reply.code == 503
     assert not any(worker.ran for worker in site.workers)
     # Refused for want of an upstream, not because its time was over.
-    outcomes = site.boxes[0].admission.gauges.outcomes
+    outcomes = site.boxes[0].admission.metrics.outcomes
     assert outcomes == {'no_upstream': 3}
 
 
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -69,7 +69,7 @@
 
 
 def outcomes(box: EntryBox) -> Counter[str]:
-    return box.admission.gauges.outcomes
+    return box.admission.metrics.outcomes
 
 
 async def test_requests_that_are_handed_on_are_served_elsewhere(site: Site) -> None:
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -15,7 +15,11 @@
 from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.serving.gauges import UNKNOWN_SECONDS, WATCHED_SECONDS, Gauges
+from hitchdeck_edge.serving.gauges import (
+    DEFAULT_DURATION_SECONDS,
+    MIN_OBSERVED_SECONDS,
+    EntryMetrics,
+)
 from hitchdeck_edge.serving.stopping import Stopping
 from hitchdeck_platform.settings import read_settings
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
@@ -91,19 +95,24 @@
 
 def test_one_long_request_is_remembered_over_many_short_ones() -> None:
     clock = FakeClock()
-    gauges = Gauges(clock)
+    metrics = EntryMetrics(clock)
     route = RouteName('r')
-    assert gauges.longest_seconds(route) == UNKNOWN_SECONDS
-    gauges.opened(route)
-    clock.seconds += WATCHED_SECONDS + 1
+    assert metrics.longest_seconds(route) == DEFAULT_DURATION_SECONDS
+    metrics.record_admitted(route)
+    clock.seconds += MIN_OBSERVED_SECONDS + 1
     for seconds in (6, *[0.1] * 100):
-        gauges.note_duration(route, seconds)
-    assert 4 < gauges.longest_seconds(route) < UNKNOWN_SECONDS
+        metrics.record_duration(route, seconds)
+    assert 4 < metrics.longest_seconds(route) < DEFAULT_DURATION_SECONDS
 
 
 @pytest.mark.parametrize(
     ('watched', 'finished', 'longest'),
-    [(1.1, 0.4, UNKNOWN_SECONDS), (1.1, 6.0, 6.0), (9, 0.4, 5.0), (11, 0.4, 0.4)],
+    [
+        (1.1, 0.4, DEFAULT_DURATION_SECONDS),
+        (1.1, 6.0, 6.0),
+        (9, 0.4, 5.0),
+        (11, 0.4, 0.4),
+    ],
 )
 def test_what_has_ended_so_far_says_little_of_a_route_just_begun(
     watched: float, finished: float, longest: float
@@ -115,12 +124,12 @@
     grace and were cut at 8.67 s (``stopped``, then ``caller gone`` after 6.452 s).
     """
     clock = FakeClock()
-    gauges = Gauges(clock)
+    metrics = EntryMetrics(clock)
     route = RouteName('r')
-    gauges.opened(route)
+    metrics.record_admitted(route)
     clock.seconds += watched
-    gauges.note_duration(route, finished)
-    assert gauges.longest_seconds(route) == longest
+    metrics.record_duration(route, finished)
+    assert metrics.longest_seconds(route) == longest
 
 
 def test_a_slow_reader_of_the_log_costs_lines_and_never_time() -> None:
