--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -26,7 +26,7 @@
 from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
 from hitchdeck_edge.serving.front import CallerServer
 from hitchdeck_edge.serving.handoff import Handoff
-from hitchdeck_edge.serving.stopping import Stopping
+from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.knowledge import Knowledge, new_knowledge
 from hitchdeck_edge.state.relief import ReliefTargets
@@ -51,7 +51,7 @@
     book: HubBook
     admission: Admission
     caller_server: CallerServer
-    graceful_stop: Stopping
+    graceful_stop: GracefulStop
     supervisor: Supervisor
     servers: list[HTTPServer] = field(default_factory=list)
 
@@ -61,7 +61,7 @@
         self.link.announce(ready=False)
         self.caller_server.close_after_answers()
         logs.info('stopping', open_requests=len(self.admission.tasks))
-        while not self.graceful_stop.may_end(idle=self._is_idle()):
+        while not self.graceful_stop.may_exit(idle=self._is_idle()):
             await asyncio.sleep(STOP_POLL_SECONDS)
 
     async def stop(self) -> None:
@@ -78,7 +78,7 @@
     async def run_upkeep(self) -> None:
         """Keep readiness true, close what leads to gone upstreams; for ever."""
         while True:
-            if self.graceful_stop.began is None:
+            if self.graceful_stop.started_at is None:
                 known = self.link.known.documents.document is not None
                 self.link.announce(ready=known)
             self._release_removed_upstreams()
@@ -119,7 +119,7 @@
     seeds = map(Address, settings.seeds)
     book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
     dispatcher = _dispatcher(settings, dialect, knowledge, book)
-    graceful_stop = Stopping(settings.stop_grace, boot_seconds)
+    graceful_stop = GracefulStop(settings.stop_grace, boot_seconds)
     admission = Admission(dialect, knowledge, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -22,7 +22,7 @@
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import Rejections
 from hitchdeck_edge.serving.shedding import Shedder
-from hitchdeck_edge.serving.stopping import Stopping
+from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.state.knowledge import Knowledge
 
 CALLER_GONE = 'caller gone'
@@ -46,13 +46,13 @@
         dialect: Dialect,
         known: Knowledge,
         dispatcher: Dispatcher,
-        stopping: Stopping,
+        graceful_stop: GracefulStop,
         now: Clock,
     ) -> None:
         self.dialect = dialect
         self.documents = known.documents
         self.dispatcher = dispatcher
-        self.stopping = stopping
+        self.graceful_stop = graceful_stop
         self.now = now
         self.metrics = EntryMetrics(now)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -207,7 +207,7 @@
 
     def _comes_too_late_to_stop(self, route: Route) -> bool:
         longest = min(self.metrics.longest_seconds(route.name), route.time_limit)
-        return self.stopping.refuses(longest, streams=route.streams)
+        return self.graceful_stop.should_refuse(longest, streams=route.streams)
 
     def _note_service(self, service: Service) -> None:
         passage = service.passage
--- a/packages/edge/src/hitchdeck_edge/serving/stopping.py
+++ b/packages/edge/src/hitchdeck_edge/serving/stopping.py
@@ -2,38 +2,38 @@
 
 from hitchdeck_core.clock import Clock
 
-TAKING_PART = 0.85
+ADMIT_FRACTION = 0.85
 """A request is taken only if it surely ends within this part of the grace."""
 
-LONGEST_FACTOR = 1.2
+DURATION_MARGIN = 1.2
 """Margin on the longest request of a route so far."""
 
-STREAM_PART = 0.3
+STREAM_FRACTION = 0.3
 """Part of the grace after which no stream is taken, however short those of its
 route were: load may have grown since, and a stream that is cut is lost."""
 
-LAST_PART = 0.95
+EXIT_FRACTION = 0.95
 """Part of the grace after which the process ends whatever is open; what is
 left covers the way out of the process."""
 
-QUIET_PART = 0.5
+IDLE_EXIT_FRACTION = 0.5
 """Part of the grace before which an idle process does not end: callers keep
 using addresses for some time."""
 
 
-class Stopping:
+class GracefulStop:
     """The state of a planned stop; nothing is refused before one begins."""
 
     def __init__(self, grace: float, now: Clock) -> None:
         self.grace = grace
         self.now = now
-        self.began: float | None = None
+        self.started_at: float | None = None
 
     def begin(self) -> None:
         """Begin the stop."""
-        self.began = self.now()
+        self.started_at = self.now()
 
-    def refuses(self, longest_seconds: float, *, streams: bool) -> bool:
+    def should_refuse(self, longest_seconds: float, *, streams: bool) -> bool:
         """Tell whether a new request may last longer than this process.
 
         Parameters
@@ -43,20 +43,20 @@
         streams
             Whether its answer is a stream.
         """
-        if self.began is None:
+        if self.started_at is None:
             return False
-        passed = self._passed()
-        if streams and passed > STREAM_PART:
+        elapsed = self._elapsed_fraction()
+        if streams and elapsed > STREAM_FRACTION:
             return True
-        longest = LONGEST_FACTOR * longest_seconds
-        return passed + longest / self.grace > TAKING_PART
+        longest = DURATION_MARGIN * longest_seconds
+        return elapsed + longest / self.grace > ADMIT_FRACTION
 
-    def may_end(self, *, idle: bool) -> bool:
+    def may_exit(self, *, idle: bool) -> bool:
         """Tell whether the process may end now."""
-        passed = self._passed()
-        return passed > LAST_PART or (idle and passed > QUIET_PART)
+        elapsed = self._elapsed_fraction()
+        return elapsed > EXIT_FRACTION or (idle and elapsed > IDLE_EXIT_FRACTION)
 
-    def _passed(self) -> float:
-        if self.began is None:
+    def _elapsed_fraction(self) -> float:
+        if self.started_at is None:
             return 0
-        return (self.now() - self.began) / self.grace
+        return (self.now() - self.started_at) / self.grace
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -20,7 +20,7 @@
     MIN_OBSERVED_SECONDS,
     EntryMetrics,
 )
-from hitchdeck_edge.serving.stopping import Stopping
+from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_platform.settings import read_settings
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
 
@@ -86,11 +86,11 @@
     refused: bool,
 ) -> None:
     clock = FakeClock()
-    stopping = Stopping(8, clock)
-    assert not stopping.refuses(100, streams=streams)
-    stopping.begin()
+    graceful_stop = GracefulStop(8, clock)
+    assert not graceful_stop.should_refuse(100, streams=streams)
+    graceful_stop.begin()
     clock.seconds += passed
-    assert stopping.refuses(longest, streams=streams) is refused
+    assert graceful_stop.should_refuse(longest, streams=streams) is refused
 
 
 def test_one_long_request_is_remembered_over_many_short_ones() -> None:
