--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.serving.front import IncomingRequest
 from hitchdeck_edge.serving.gauges import EntryMetrics
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
-from hitchdeck_edge.serving.rejections import Rejections
+from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
 from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.state.knowledge import Knowledge
@@ -56,7 +56,7 @@
         self.now = now
         self.metrics = EntryMetrics(now)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rejections = Rejections(now)
+        self.rejections = RejectionLog(now)
         self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
 
     def take(self, incoming: IncomingRequest) -> None:
--- a/packages/edge/src/hitchdeck_edge/serving/front.py
+++ b/packages/edge/src/hitchdeck_edge/serving/front.py
@@ -153,7 +153,7 @@
 
     def _serve_here(self, connection: socket.socket) -> None:
         if self.is_overloaded():
-            self.shedder.take(connection)
+            self.shedder.watch(connection)
         else:
             self._serve_connection(connection)
 
--- a/packages/edge/src/hitchdeck_edge/serving/rejections.py
+++ b/packages/edge/src/hitchdeck_edge/serving/rejections.py
@@ -8,14 +8,14 @@
 from hitchdeck_core.ids import RequestId
 from hitchdeck_edge.model.refusals import Refusal
 
-MOST_IDS = 64
+MAX_IDS = 64
 """Ids in one line."""
 
-DELAY_SECONDS = 0.25
+MAX_DELAY_SECONDS = 0.25
 """Longest time from a rejection to its line."""
 
 
-class Rejections:
+class RejectionLog:
     """Ids of requests that were rejected since the last line."""
 
     def __init__(self, now: Clock) -> None:
@@ -28,9 +28,9 @@
         if not self.ids:
             self.since = self.now()
             loop = asyncio.get_running_loop()
-            loop.call_later(DELAY_SECONDS, self.flush)
+            loop.call_later(MAX_DELAY_SECONDS, self.flush)
         self.ids.append(request)
-        if len(self.ids) >= MOST_IDS:
+        if len(self.ids) >= MAX_IDS:
             self.flush()
 
     def flush(self) -> None:
--- a/packages/edge/src/hitchdeck_edge/serving/shedding.py
+++ b/packages/edge/src/hitchdeck_edge/serving/shedding.py
@@ -23,24 +23,24 @@
 READ_BYTES = 65_536
 """Bytes of a body that are read, and dropped, at once."""
 
-_END = b'\r\n' + Refusal.no_time_here.value.why.encode()
+_RESPONSE_END = b'\r\n' + Refusal.no_time_here.value.why.encode()
 _HEAD_END = b'\r\n\r\n'
-_LENGTH = re.compile(rb'\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n')
+_CONTENT_LENGTH = re.compile(rb'\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n')
 _FRAMED_OTHERWISE = re.compile(rb'\r\n(?:transfer-encoding|expect|upgrade)[ \t]*:')
-_WITH_BODY = re.compile(rb'(?:GET|POST|PUT|PATCH|DELETE) [^ \r\n]+ HTTP/1\.1\r\n')
+_REQUEST_LINE = re.compile(rb'(?:GET|POST|PUT|PATCH|DELETE) [^ \r\n]+ HTTP/1\.1\r\n')
 
-Decide = Callable[[], bool]
+ShouldAdmit = Callable[[], bool]
 """Tells whether a request is to be served after all."""
 
 Serve = Callable[[socket.socket], None]
 """Has a connection served from which nothing was read."""
 
-Rejected = Callable[[RequestId], None]
+OnRejected = Callable[[RequestId], None]
 """Told the id of each request that was rejected."""
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class FramedRequest:
     """Where a request on a connection ends, in bytes, and its id."""
 
     size: int
@@ -59,97 +59,105 @@
         request that are still to be dropped.
     """
 
-    def __init__(self, id_field: str, should_admit: Decide, rejected: Rejected) -> None:
+    def __init__(
+        self, id_field: str, should_admit: ShouldAdmit, on_rejected: OnRejected
+    ) -> None:
         name = re.escape(id_field.lower().encode())
         self.id_line = re.compile(rb'\r\n%s:[ \t]*([^\r\n]*?)[ \t]*\r\n' % name, re.I)
         self.id_field = id_field.encode()
-        self.head = _head_of(Refusal.no_time_here.value)
+        self.head = _rejection_head(Refusal.no_time_here.value)
         self.should_admit = should_admit
         self.serve: Serve = socket.socket.close
-        self.rejected = rejected
+        self.on_rejected = on_rejected
         self.waiting: set[socket.socket] = set()
 
-    def take(self, connection: socket.socket) -> None:
+    def watch(self, connection: socket.socket) -> None:
         """Wait for the first request on a connection."""
         self.waiting.add(connection)
         loop = asyncio.get_running_loop()
-        loop.add_reader(connection, self._begin, connection)
+        loop.add_reader(connection, self._peek, connection)
 
     def close(self) -> None:
         """Close the connections on which no request has come."""
         for connection in list(self.waiting):
-            self._drop(connection)
+            self._close(connection)
 
-    def parse(self, seen: bytes) -> Request | None:
+    def parse(self, received: bytes) -> FramedRequest | None:
         """Return the request that begins with some bytes.
 
         ``None`` if it takes an HTTP parser to tell where it ends.
         """
-        end = seen.find(_HEAD_END)
-        if end < 0 or not _WITH_BODY.match(seen):
+        end = received.find(_HEAD_END)
+        if end < 0 or not _REQUEST_LINE.match(received):
             return None
-        head = seen[: end + 2]
+        head = received[: end + 2]
         lowered = head.lower()
-        lengths = _LENGTH.findall(lowered)
+        lengths = _CONTENT_LENGTH.findall(lowered)
         if _FRAMED_OTHERWISE.search(lowered):
             return None
         if len(lengths) > 1 or len(lengths) != lowered.count(b'content-length'):
             return None
         body = int(lengths[0]) if lengths else 0
         found = self.id_line.search(head)
-        return Request(end + len(_HEAD_END) + body, found[1] if found else b'')
+        return FramedRequest(end + len(_HEAD_END) + body, found[1] if found else b'')
 
-    def _begin(self, connection: socket.socket) -> None:
+    def _peek(self, connection: socket.socket) -> None:
         """Look at what has come; leave it in the socket for the HTTP server."""
         try:
-            seen = connection.recv(PEEK_BYTES, socket.MSG_PEEK)
+            received = connection.recv(PEEK_BYTES, socket.MSG_PEEK)
         except BlockingIOError:
             return
         except OSError:
             # The caller has gone before it sent anything.
-            seen = b''
-        if not seen:
-            self._drop(connection)
+            received = b''
+        if not received:
+            self._close(connection)
             return
-        request = self.parse(seen)
+        request = self.parse(received)
         if request is None or self.should_admit():
             self._release(connection)
             self.serve(connection)
             return
-        self._read(connection, request, request.size)
+        self._discard(connection, request, request.size)
 
-    def _read(self, connection: socket.socket, request: Request, left: int) -> None:
+    def _discard(
+        self, connection: socket.socket, request: FramedRequest, left: int
+    ) -> None:
         """Drop the bytes of a request, then reject it."""
         while left:
             try:
                 dropped = connection.recv(min(left, READ_BYTES))
             except BlockingIOError:
                 loop = asyncio.get_running_loop()
-                loop.add_reader(connection, self._read, connection, request, left)
+                loop.add_reader(connection, self._discard, connection, request, left)
                 return
             except OSError:
                 # A reset: nobody waits for an answer.
                 dropped = b''
             if not dropped:
-                self._drop(connection)
+                self._close(connection)
                 return
             left -= len(dropped)
-        self._answer(connection, request)
+        self._send_rejection(connection, request)
 
-    def _answer(self, connection: socket.socket, request: Request) -> None:
+    def _send_rejection(
+        self, connection: socket.socket, request: FramedRequest
+    ) -> None:
         try:
             connection.send(self._rejection(request.id))
         except OSError as error:
-            logs.info('rejection not sent', request=_id_of(request), reason=repr(error))
-        self.rejected(_id_of(request))
-        self._drop(connection)
+            logs.info(
+                'rejection not sent', request=_decoded_id(request), reason=repr(error)
+            )
+        self.on_rejected(_decoded_id(request))
+        self._close(connection)
 
     def _rejection(self, request: bytes) -> bytes:
         if not request:
-            return self.head + _END
-        return b'%s%s: %s\r\n%s' % (self.head, self.id_field, request, _END)
+            return self.head + _RESPONSE_END
+        return b'%s%s: %s\r\n%s' % (self.head, self.id_field, request, _RESPONSE_END)
 
-    def _drop(self, connection: socket.socket) -> None:
+    def _close(self, connection: socket.socket) -> None:
         self._release(connection)
         connection.close()
 
@@ -158,7 +166,7 @@
         self.waiting.discard(connection)
 
 
-def _head_of(reply: Reply) -> bytes:
+def _rejection_head(reply: Reply) -> bytes:
     """Return the head of a rejection, without the request's id and its end."""
     status = HTTPStatus(reply.status)
     lines = (
@@ -171,5 +179,5 @@
     return '\r\n'.join(lines).encode()
 
 
-def _id_of(request: Request) -> RequestId:
+def _decoded_id(request: FramedRequest) -> RequestId:
     return RequestId(request.id.decode('latin-1'))
