--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -110,7 +110,7 @@
         sender.backpressure.keep(registry.names())
         self.admission.metrics.unwilling_upstreams = len(sender.backpressure.closed())
         self.admission.metrics.upstream_changes = registry.changes
-        self.admission.metrics.handed_off = self.caller_server.handoff.handed
+        self.admission.metrics.handed_off = self.caller_server.handoff.handed_off
 
 
 async def start_entry(settings: EntrySettings, dialect: Dialect) -> EntryBox:
--- a/packages/edge/src/hitchdeck_edge/serving/front.py
+++ b/packages/edge/src/hitchdeck_edge/serving/front.py
@@ -137,7 +137,7 @@
 
     def _accept(self, connection: socket.socket, _: object) -> None:
         connection.setblocking(False)
-        if should_hand_off(busy_part()) and self.handoff.take(connection):
+        if should_hand_off(busy_part()) and self.handoff.try_relay(connection):
             return
         self._serve_here(connection)
 
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -21,24 +21,24 @@
 from hitchdeck_core.sockets import set_probes
 from hitchdeck_edge.state.relief import ReliefTargets
 
-HANDOFF_FROM = 0.55
+HANDOFF_START = 0.55
 """Utilization from which connections are handed on, by chance."""
 
-HANDOFF_ALL = 0.8
+HANDOFF_FULL = 0.8
 """Utilization from which every connection is."""
 
 CONNECT_SECONDS = 0.3
 """Time to reach a box of the same domain."""
 
-VERDICT_SECONDS = 1.2
+SILENCE_TIMEOUT_SECONDS = 1.2
 """Time after a missing greeting in which a box that runs is heard of."""
 
 GREETING = b'+'
 
-MOST_OPEN = 1000
+MAX_OPEN = 1000
 """Connections that are relayed at once; each takes two descriptors."""
 
-LOG_SECONDS = 0.5
+LOG_DELAY_SECONDS = 0.5
 """Longest time from a connection that is handed on to its log line."""
 
 ServeConnection = Callable[[socket.socket], None]
@@ -46,18 +46,22 @@
 
 def should_hand_off(utilization: float) -> bool:
     """Tell whether a box with some utilization hands a new connection on."""
-    if utilization <= HANDOFF_FROM:
+    if utilization <= HANDOFF_START:
         return False
-    return random.random() < (utilization - HANDOFF_FROM) / (HANDOFF_ALL - HANDOFF_FROM)
+    return random.random() < (utilization - HANDOFF_START) / (
+        HANDOFF_FULL - HANDOFF_START
+    )
 
 
-class Pump(asyncio.Protocol):
+class RelayEnd(asyncio.Protocol):
     """One end of a relayed connection; what it receives goes out at the other."""
 
-    def __init__(self, heard: Callable[[], None], ended: Callable[[], None]) -> None:
-        self.heard = heard
-        self.ended = ended
-        self.other: Pump | None = None
+    def __init__(
+        self, on_received: Callable[[], None], on_closed: Callable[[], None]
+    ) -> None:
+        self.on_received = on_received
+        self.on_closed = on_closed
+        self.peer: RelayEnd | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -67,42 +71,42 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass bytes on."""
-        self.heard()
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.write(data)
+        self.on_received()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.write(data)
 
     def pause_writing(self) -> None:
         """Read no more at the other end until this one has taken what waits."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.pause_reading()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.pause_reading()
 
     def resume_writing(self) -> None:
         """Read on at the other end."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.resume_reading()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the other end too; visibly broken where this one was reset."""
-        self.ended()
-        other = self.other.transport if self.other is not None else None
-        if other is None:
+        self.on_closed()
+        peer = self.peer.transport if self.peer is not None else None
+        if peer is None:
             return
         if exc is None:
-            other.close()
+            peer.close()
         else:
-            other.abort()
+            peer.abort()
 
 
-class FarPump(Pump):
+class TargetEnd(RelayEnd):
     """The end towards a box, which greets first."""
 
     def __init__(
         self,
         target: Address,
-        heard: Callable[[], None],
-        ended: Callable[[], None],
+        on_received: Callable[[], None],
+        on_closed: Callable[[], None],
     ) -> None:
-        super().__init__(heard, ended)
+        super().__init__(on_received, on_closed)
         self.target = target
         self.greeted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -116,7 +120,7 @@
         if self.greeted.done():
             super().data_received(data)
             return
-        self.heard()
+        self.on_received()
         self.greeted.set_result(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -135,22 +139,22 @@
         Takes a connection that no other box could take, with nothing read from it.
     open
         Connections that are relayed.
-    heard
+    last_received
         When bytes last came from each box.
     """
 
     def __init__(self, targets: ReliefTargets) -> None:
         self.targets = targets
-        self.heard: dict[Address, float] = {}
+        self.last_received: dict[Address, float] = {}
         self.serve: ServeConnection = socket.socket.close
-        self.open: set[asyncio.Task[None] | Pump] = set()
-        self.handed = 0
+        self.open: set[asyncio.Task[None] | RelayEnd] = set()
+        self.handed_off = 0
         self.unlogged = 0
 
-    def take(self, connection: socket.socket) -> bool:
+    def try_relay(self, connection: socket.socket) -> bool:
         """Relay a connection to another box, if there is one."""
         target = self.targets.choose()
-        if target is None or len(self.open) >= MOST_OPEN:
+        if target is None or len(self.open) >= MAX_OPEN:
             return False
         loop = asyncio.get_running_loop()
         task = loop.create_task(self._relay(connection, target))
@@ -167,65 +171,70 @@
                 _abort(one)
 
     async def _relay(self, connection: socket.socket, target: Address) -> None:
-        far = self._far_pump(target)
+        target_end = self._new_target_end(target)
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
-                await loop.create_connection(lambda: far, *split_address(target))
-                await far.greeted
+                await loop.create_connection(lambda: target_end, *split_address(target))
+                await target_end.greeted
         except (OSError, TimeoutError) as error:
-            self._give_up(far, error)
+            self._abandon_target(target_end, error)
             self.serve(connection)
             return
-        near = Pump(_ignore, lambda: self.open.discard(near))
-        near.other, far.other = far, near
-        self.open.update((near, far))
+        caller_end = RelayEnd(_ignore, lambda: self.open.discard(caller_end))
+        caller_end.peer, target_end.peer = target_end, caller_end
+        self.open.update((caller_end, target_end))
         try:
-            await loop.connect_accepted_socket(lambda: near, connection)
+            await loop.connect_accepted_socket(lambda: caller_end, connection)
         except OSError as error:
             logs.info('caller left before it was handed on', reason=repr(error))
-            self.open.discard(near)
-            _abort(far)
+            self.open.discard(caller_end)
+            _abort(target_end)
             return
-        self._count()
+        self._record_handoff()
 
-    def _far_pump(self, target: Address) -> FarPump:
+    def _new_target_end(self, target: Address) -> TargetEnd:
         def note() -> None:
-            self.heard[target] = self.targets.now()
+            self.last_received[target] = self.targets.now()
 
-        far = FarPump(target, note, lambda: self.open.discard(far))
-        return far
+        target_end = TargetEnd(target, note, lambda: self.open.discard(target_end))
+        return target_end
 
-    def _give_up(self, far: FarPump, error: Exception) -> None:
+    def _abandon_target(self, target_end: TargetEnd, error: Exception) -> None:
         """Use a box no more for a while; find out whether it has stopped to answer."""
-        logs.info('box not reached', box_address=far.target, reason=repr(error))
-        far.greeted.cancel()
-        _abort(far)
-        self.targets.distrust(far.target)
+        logs.info('box not reached', box_address=target_end.target, reason=repr(error))
+        target_end.greeted.cancel()
+        _abort(target_end)
+        self.targets.distrust(target_end.target)
         loop = asyncio.get_running_loop()
-        loop.call_later(VERDICT_SECONDS, self._judge, far.target, self.targets.now())
+        loop.call_later(
+            SILENCE_TIMEOUT_SECONDS,
+            self._abort_if_silent,
+            target_end.target,
+            self.targets.now(),
+        )
 
-    def _judge(self, target: Address, since: float) -> None:
+    def _abort_if_silent(self, target: Address, since: float) -> None:
         """Break off what is relayed to a box that was not heard of since."""
-        if self.heard.get(target, 0) >= since:
+        if self.last_received.get(target, 0) >= since:
             return
         stuck = [
             one
             for one in self.open
-            if isinstance(one, FarPump) and one.target == target
+            if isinstance(one, TargetEnd) and one.target == target
         ]
         if stuck:
             logs.warning('box stands still', box_address=target, broken_off=len(stuck))
         for one in stuck:
-            if one.other is not None:
-                _abort(one.other)
+            if one.peer is not None:
+                _abort(one.peer)
             _abort(one)
 
-    def _count(self) -> None:
-        self.handed += 1
+    def _record_handoff(self) -> None:
+        self.handed_off += 1
         self.unlogged += 1
         if self.unlogged == 1:
-            asyncio.get_running_loop().call_later(LOG_SECONDS, self._log)
+            asyncio.get_running_loop().call_later(LOG_DELAY_SECONDS, self._log)
 
     def _log(self) -> None:
         logs.info(
@@ -237,7 +246,7 @@
         self.unlogged = 0
 
 
-def _abort(pump: Pump) -> None:
+def _abort(pump: RelayEnd) -> None:
     if pump.transport is not None:
         pump.transport.abort()
 
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -22,9 +22,9 @@
 from hitchdeck_edge.serving import front, handoff
 from hitchdeck_edge.serving.handoff import (
     GREETING,
-    HANDOFF_ALL,
-    HANDOFF_FROM,
-    FarPump,
+    HANDOFF_FULL,
+    HANDOFF_START,
+    TargetEnd,
     should_hand_off,
 )
 from hitchdeck_edge.state.relief import (
@@ -64,8 +64,8 @@
     return first, second
 
 
-def far_ends(box: EntryBox) -> list[FarPump]:
-    return [one for one in box.caller_server.handoff.open if isinstance(one, FarPump)]
+def far_ends(box: EntryBox) -> list[TargetEnd]:
+    return [one for one in box.caller_server.handoff.open if isinstance(one, TargetEnd)]
 
 
 def outcomes(box: EntryBox) -> Counter[str]:
@@ -82,7 +82,7 @@
     assert not outcomes(first)
     assert outcomes(second).total() == 8
     await until(lambda: not first.caller_server.handoff.open)
-    assert first.caller_server.handoff.handed == 8
+    assert first.caller_server.handoff.handed_off == 8
 
 
 async def test_a_box_out_of_reach_is_passed_by_and_the_request_served(
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ('busy', 'chance'), [(0, 0), (HANDOFF_FROM, 0), (HANDOFF_ALL, 1), (1, 1)]
+    ('busy', 'chance'), [(0, 0), (HANDOFF_START, 0), (HANDOFF_FULL, 1), (1, 1)]
 )
 def test_connections_are_handed_on_by_utilization(busy: float, chance: int) -> None:
     assert sum(should_hand_off(busy) for _ in range(50)) == 50 * chance
