--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -128,7 +128,7 @@
         book=book,
         admission=admission,
         caller_server=CallerServer(
-            admission.take,
+            admission.start_serving,
             admission.shedder,
             Handoff(targets),
             admission.is_overloaded,
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -25,14 +25,14 @@
 from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.state.knowledge import Knowledge
 
-CALLER_GONE = 'caller gone'
+CALLER_DISCONNECTED = 'caller gone'
 """Outcome of a request whose caller closed its connection first."""
 
-START_SECONDS = 1.2
+DOCUMENT_WAIT_SECONDS = 1.2
 """How long a request waits for the first document at most.  Of 400 requests
 that reached boxes in their first 0.6 s, all were refused, most of them twice."""
 
-START_PART = 0.2
+DOCUMENT_WAIT_FRACTION = 0.2
 """Part of the caller's time that such a wait may take."""
 
 _NO_ID = RequestId('')
@@ -44,36 +44,38 @@
     def __init__(
         self,
         dialect: Dialect,
-        known: Knowledge,
+        knowledge: Knowledge,
         dispatcher: Dispatcher,
         graceful_stop: GracefulStop,
         now: Clock,
     ) -> None:
         self.dialect = dialect
-        self.documents = known.documents
+        self.documents = knowledge.documents
         self.dispatcher = dispatcher
         self.graceful_stop = graceful_stop
         self.now = now
         self.metrics = EntryMetrics(now)
         self.tasks: set[asyncio.Task[None]] = set()
         self.rejections = RejectionLog(now)
-        self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
+        self.shedder = Shedder(
+            dialect.request_field, self._should_admit, self._record_rejection
+        )
 
-    def take(self, incoming: IncomingRequest) -> None:
+    def start_serving(self, incoming: IncomingRequest) -> None:
         """Start to serve a request that was read."""
         arrived = self.now()
         caller = CallerConnection(incoming.connection)
-        if not self._has_time():
+        if not self._should_admit():
             self._reject(incoming, caller)
             return
         task = asyncio.get_running_loop().create_task(
             self._serve(incoming, caller, arrived),
         )
 
-        def leave() -> None:
+        def cancel_task() -> None:
             task.cancel()
 
-        caller.on_disconnect = leave
+        caller.on_disconnect = cancel_task
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -81,7 +83,7 @@
         """Tell whether this box may have to reject requests."""
         return is_overloaded(busy_part(), loop_lag())
 
-    def _has_time(self) -> bool:
+    def _should_admit(self) -> bool:
         return should_admit(busy_part(), loop_lag())
 
     def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
@@ -93,11 +95,11 @@
         try:
             refuse(self.dialect, request, caller, Refusal.no_time_here)
         except CallerDisconnectedError:
-            self.metrics.record_undispatched(CALLER_GONE)
+            self.metrics.record_undispatched(CALLER_DISCONNECTED)
             return
-        self._record(request)
+        self._record_rejection(request)
 
-    def _record(self, request: RequestId) -> None:
+    def _record_rejection(self, request: RequestId) -> None:
         self.metrics.record_undispatched(Refusal.no_time_here.name)
         self.rejections.add(request)
 
@@ -106,11 +108,11 @@
     ) -> None:
         call: Call | None = None
         try:
-            call = self._read(incoming)
-            await self._answer(call, incoming.body, caller, arrived)
+            call = self._decode(incoming)
+            await self._decide(call, incoming.body, caller, arrived)
         except (CallerDisconnectedError, asyncio.CancelledError):
             request = call.request if call else _NO_ID
-            self._note_end(request, caller, CALLER_GONE, arrived, call)
+            self._record_end(request, caller, CALLER_DISCONNECTED, arrived, call)
         except Exception as error:
             logs.failure(
                 'request failed',
@@ -119,7 +121,7 @@
             )
             caller.abort()
 
-    async def _answer(
+    async def _decide(
         self,
         call: Call | None,
         body: bytes,
@@ -127,12 +129,12 @@
         arrived: float,
     ) -> None:
         if call is not None:
-            await self._decide(call, body, caller, arrived)
+            await self._dispatch(call, body, caller, arrived)
             return
         refuse(self.dialect, _NO_ID, caller, Refusal.bad_request)
-        self._note_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
+        self._record_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
-    def _read(self, incoming: IncomingRequest) -> Call | None:
+    def _decode(self, incoming: IncomingRequest) -> Call | None:
         start = incoming.start_line
         assert start is not None
         headers = incoming.headers.get_all()
@@ -142,7 +144,7 @@
             logs.info('request unreadable', reason=str(error))
             return None
 
-    async def _decide(
+    async def _dispatch(
         self,
         call: Call,
         body: bytes,
@@ -153,7 +155,7 @@
         decision = self._admit(call, body, arrived)
         if isinstance(decision, Refusal):
             refuse(self.dialect, call.request, caller, decision)
-            self._note_end(call.request, caller, decision.name, arrived, call)
+            self._record_end(call.request, caller, decision.name, arrived, call)
             return
         self.metrics.record_admitted(decision.route.name)
         service = self.dispatcher.open(decision, caller)
@@ -161,16 +163,16 @@
             await self.dispatcher.serve(service)
         except (CallerDisconnectedError, asyncio.CancelledError):
             # The task that serves this request is cancelled as its caller left.
-            service.answers.outcome = CALLER_GONE
-        self._note_service(service)
+            service.answers.outcome = CALLER_DISCONNECTED
+        self._record_service(service)
 
     async def _wait_for_document(self, call: Call, arrived: float) -> None:
         """Wait a little in a box that has just started, rather than refuse.
 
         Callers come back once or twice, and the document is there sooner.
         """
-        patience = call.patience or START_SECONDS
-        until = arrived + min(START_SECONDS, patience * START_PART)
+        patience = call.patience or DOCUMENT_WAIT_SECONDS
+        until = arrived + min(DOCUMENT_WAIT_SECONDS, patience * DOCUMENT_WAIT_FRACTION)
         while self.documents.document is None and self.now() < until:
             await self.documents.changed.wait(until - self.now())
 
@@ -188,9 +190,9 @@
         homes = common_homes(route, account)
         if homes is None:
             return Refusal.no_upstream
-        if self._comes_too_late_to_stop(route):
+        if self._would_outlast_stop(route):
             return Refusal.stopping
-        pool = document.pools[_pool_of(route)]
+        pool = document.pools[_choose_pool(route)]
         patience = min(call.patience or route.time_limit, route.time_limit)
         return Passage(
             call=call,
@@ -205,11 +207,11 @@
             areas=homes,
         )
 
-    def _comes_too_late_to_stop(self, route: Route) -> bool:
+    def _would_outlast_stop(self, route: Route) -> bool:
         longest = min(self.metrics.longest_seconds(route.name), route.time_limit)
         return self.graceful_stop.should_refuse(longest, streams=route.streams)
 
-    def _note_service(self, service: Service) -> None:
+    def _record_service(self, service: Service) -> None:
         passage = service.passage
         last = service.last
         seconds = self.now() - passage.arrived
@@ -230,11 +232,11 @@
             first_event=round(last.first_event, 3) if last else 0,
             goal=passage.route.goal,
             seconds=round(seconds, 3),
-            **_content_field(passage, service.answers.outcome),
+            **_quarantine_fields(passage, service.answers.outcome),
             **_size_fields(passage.call),
         )
 
-    def _note_end(
+    def _record_end(
         self,
         request: RequestId,
         caller: CallerConnection,
@@ -254,7 +256,7 @@
         )
 
 
-def _content_field(passage: Passage, outcome: str) -> dict[str, object]:
+def _quarantine_fields(passage: Passage, outcome: str) -> dict[str, object]:
     """Return what leads from a request that is kept away to the ends before it."""
     if outcome != Refusal.quarantined.name:
         return {}
@@ -277,7 +279,7 @@
     }
 
 
-def _pool_of(route: Route) -> PoolName:
+def _choose_pool(route: Route) -> PoolName:
     if len(route.targets) == 1:
         return route.targets[0].pool
     weights = [target.weight for target in route.targets]
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -202,7 +202,7 @@
             await asyncio.sleep(0.01)
     line = next(one for one in lines if one['event'] == 'request')
     worker = next(one for one in site.workers if ran(site, 'r1') and one.ran)
-    assert line['outcome'] == admission.CALLER_GONE
+    assert line['outcome'] == admission.CALLER_DISCONNECTED
     assert (line['upstream'], line['sent']) == (worker.name, 1)
 
 
