--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import CallerConnection, ResponseHeaders
 
-NOT_FORWARDED = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'content-length',
@@ -29,7 +29,7 @@
 anew from the body."""
 
 
-def end_to_end(headers: Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
     """Return the headers that are not of one connection."""
     kept = list(headers)
     named = {
@@ -38,19 +38,19 @@
         if name.lower() == b'connection'
         for token in text.split(b',')
     }
-    dropped = NOT_FORWARDED | named
+    dropped = HOP_BY_HOP_HEADERS | named
     return [(name, text) for name, text in kept if name.lower() not in dropped]
 
 
-def answer_headers(headers: Iterable[Header]) -> ResponseHeaders:
+def response_headers(headers: Iterable[Header]) -> ResponseHeaders:
     """Return an upstream's headers as they go to the caller."""
     return [
         (name.decode('latin-1'), text.decode('latin-1'))
-        for name, text in end_to_end(headers)
+        for name, text in end_to_end_headers(headers)
     ]
 
 
-def refuse(
+def send_refusal(
     dialect: Dialect,
     request: RequestId,
     caller: CallerConnection,
@@ -71,7 +71,7 @@
         The caller left before.
     """
     reply = refusal.value
-    headers = echo_headers(dialect, request)
+    headers = request_id_headers(dialect, request)
     seconds = retry_after or reply.retry_after
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
@@ -79,12 +79,12 @@
     caller.respond_without_waiting(reply.status, reason, headers, reply.why.encode())
 
 
-def echo_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
+def request_id_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
     """Return what an answer of the product's own repeats of a request."""
     return [(dialect.request_field, request)] if request else []
 
 
-class Answers:
+class FinalResponse:
     """The one final answer to a passage."""
 
     def __init__(
@@ -95,17 +95,17 @@
         self.caller = caller
         self.outcome = 'open'
 
-    async def pass_on(self, head: Head, body: bytes) -> None:
+    async def forward(self, head: Head, body: bytes) -> None:
         """Give an upstream's whole answer."""
         self.outcome = 'answered'
         await self.caller.respond(
             head.status,
             head.reason.decode('latin-1'),
-            answer_headers(head.headers),
+            response_headers(head.headers),
             body,
         )
 
-    def give_up(self, refusal: Refusal, retry_after: float = 0) -> None:
+    def fail(self, refusal: Refusal, retry_after: float = 0) -> None:
         """End a request for which no upstream can be tried any more.
 
         ``retry_after`` is as for a refusal.
@@ -114,21 +114,21 @@
         if self.caller.started:
             self.caller.abort()
         elif self.passage.may_have_run:
-            self._say(HTTPStatus.BAD_GATEWAY)
+            self._respond_unknown(HTTPStatus.BAD_GATEWAY)
         else:
             request = self.passage.call.request
-            refuse(self.dialect, request, self.caller, refusal, retry_after)
+            send_refusal(self.dialect, request, self.caller, refusal, retry_after)
 
-    def run_out_of_time(self) -> None:
+    def time_out(self) -> None:
         """End a request whose time is over."""
         self.outcome = Refusal.time_over.name
         if self.caller.started:
             self.caller.abort()
         elif self.passage.may_have_run:
-            self._say(HTTPStatus.GATEWAY_TIMEOUT)
+            self._respond_unknown(HTTPStatus.GATEWAY_TIMEOUT)
         else:
-            self.give_up(Refusal.time_over)
+            self.fail(Refusal.time_over)
 
-    def _say(self, status: HTTPStatus) -> None:
-        headers = echo_headers(self.dialect, self.passage.call.request)
+    def _respond_unknown(self, status: HTTPStatus) -> None:
+        headers = request_id_headers(self.dialect, self.passage.call.request)
         self.caller.respond_without_waiting(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from hitchdeck_core.ids import UpstreamName
-from hitchdeck_edge.dispatch.answers import Answers
+from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.exchange import Head
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.model.passage import Passage
@@ -67,7 +67,7 @@
 
     passage: Passage
     caller: CallerConnection
-    answers: Answers
+    answers: FinalResponse
     relay: Relay
     unreached: int = 0
     last: Attempt | None = None
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from hitchdeck_core.clock import Clock
-from hitchdeck_edge.dispatch.answers import Answers
+from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.dispatch.relay import Relay
@@ -45,7 +45,7 @@
 
     def open(self, passage: Passage, caller: CallerConnection) -> Service:
         """Return the service of a request, which is counted from now on."""
-        answers = Answers(self.dialect, passage, caller)
+        answers = FinalResponse(self.dialect, passage, caller)
         self.budget.count(passage.pool.name)
         return Service(passage, caller, answers, Relay(passage, caller))
 
@@ -62,7 +62,7 @@
                 await self._serve(service)
         except TimeoutError:
             self._doubt(service)
-            service.answers.run_out_of_time()
+            service.answers.time_out()
 
     async def _serve(self, service: Service) -> None:
         passage = service.passage
@@ -121,7 +121,7 @@
             service.answers.outcome = 'streamed'
             return
         assert attempt.head is not None
-        await service.answers.pass_on(attempt.head, attempt.body)
+        await service.answers.forward(attempt.head, attempt.body)
 
     async def _give_up(self, service: Service, refusal: Refusal) -> None:
         """End with the upstream's own word if it has one, else with ours."""
@@ -134,6 +134,6 @@
         # Callers came back after 0.1 s to a box with nothing for them for longer.
         pause = self.chooser.pause_left(service.passage.pool.name)
         if pause and refusal in NOBODY_TAKES_IT:
-            service.answers.give_up(Refusal.paused, pause)
+            service.answers.fail(Refusal.paused, pause)
             return
-        service.answers.give_up(refusal)
+        service.answers.fail(refusal)
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from hitchdeck_edge.dispatch.answers import answer_headers
+from hitchdeck_edge.dispatch.answers import response_headers
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.dispatch.exchange import Connection, Head
 from hitchdeck_edge.model.passage import Passage
@@ -21,7 +21,7 @@
         self.caller = caller
         self.splitter = EventSplitter(passage.last_event)
 
-    async def pass_on(
+    async def forward(
         self,
         connection: Connection,
         head: Head,
@@ -38,7 +38,7 @@
         if not self.caller.started:
             reason = head.reason.decode('latin-1')
             await self.caller.start_response(
-                head.status, reason, answer_headers(head.headers)
+                head.status, reason, response_headers(head.headers)
             )
         while piece := await connection.read_data():
             whole = self.splitter.feed(piece)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -218,7 +218,7 @@
                 self._note_start(service.passage, attempt)
 
         attempt.relayed = True
-        await service.relay.pass_on(connection, head, on_event)
+        await service.relay.forward(connection, head, on_event)
         attempt.verdict = Verdict.answered
 
     def _note_start(self, passage: Passage, attempt: Attempt) -> None:
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.busyness import busy_part, loop_lag
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
-from hitchdeck_edge.dispatch.answers import refuse
+from hitchdeck_edge.dispatch.answers import send_refusal
 from hitchdeck_edge.dispatch.attempts import Service
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
@@ -93,7 +93,7 @@
         """
         request = RequestId(incoming.headers.get(self.dialect.request_field, ''))
         try:
-            refuse(self.dialect, request, caller, Refusal.no_time_here)
+            send_refusal(self.dialect, request, caller, Refusal.no_time_here)
         except CallerDisconnectedError:
             self.metrics.record_undispatched(CALLER_DISCONNECTED)
             return
@@ -131,7 +131,7 @@
         if call is not None:
             await self._dispatch(call, body, caller, arrived)
             return
-        refuse(self.dialect, _NO_ID, caller, Refusal.bad_request)
+        send_refusal(self.dialect, _NO_ID, caller, Refusal.bad_request)
         self._record_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
     def _decode(self, incoming: IncomingRequest) -> Call | None:
@@ -154,7 +154,7 @@
         await self._wait_for_document(call, arrived)
         decision = self._admit(call, body, arrived)
         if isinstance(decision, Refusal):
-            refuse(self.dialect, call.request, caller, decision)
+            send_refusal(self.dialect, call.request, caller, decision)
             self._record_end(call.request, caller, decision.name, arrived, call)
             return
         self.metrics.record_admitted(decision.route.name)
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -9,7 +9,7 @@
 from hitchdeck_core.errors import SettingsError
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.log_output import BURST_LINES, WAITING_BYTES, BoundedOutput
-from hitchdeck_edge.dispatch.answers import end_to_end
+from hitchdeck_edge.dispatch.answers import end_to_end_headers
 from hitchdeck_edge.dispatch.budget import CAUTION, RepeatBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
@@ -62,7 +62,7 @@
         (b'Transfer-Encoding', b'chunked'),
         (b'Server-Seal', b'kept'),
     ]
-    assert end_to_end(headers) == [(b'Server-Seal', b'kept')]
+    assert end_to_end_headers(headers) == [(b'Server-Seal', b'kept')]
 
 
 @pytest.mark.parametrize(
