--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -14,7 +14,7 @@
 from hitchdeck_edge.serving.caller import CallerConnection
 
 
-class Verdict(Enum):
+class AttemptOutcome(Enum):
     """What one attempt came to."""
 
     answered = 'answered'
@@ -34,23 +34,23 @@
 class Attempt:
     """One upstream's turn at a request, and what it came to.
 
-    ``number`` is the scheduler's for it; ``relayed`` says that the caller got
-    the answer as it came; ``ran_before`` that the request may have run before
+    ``number`` is the scheduler's for it; ``streamed`` says that the caller got
+    the answer as it came; ``may_have_run_before`` that the request may have run before
     this attempt; ``first_event`` is how long the first event of a stream took,
     in seconds; ``pause`` for how long the upstream wants nothing from this box,
     and ``leaving`` whether it said that it leaves.
     """
 
     choice: Choice
-    began: float
+    started_at: float
     ticket: Ticket
     number: int
-    ran_before: bool
-    verdict: Verdict = Verdict.broken
+    may_have_run_before: bool
+    outcome: AttemptOutcome = AttemptOutcome.broken
     head: Head | None = None
     body: bytes = b''
     reason: str = ''
-    relayed: bool = False
+    streamed: bool = False
     first_event: float = 0.0
     pause: float = 0.0
     leaving: bool = False
@@ -62,23 +62,23 @@
 
 
 @dataclass(slots=True)
-class Service:
+class ActiveRequest:
     """One request being served: who asked, and what it was answered."""
 
     passage: Passage
     caller: CallerConnection
-    answers: FinalResponse
+    response: FinalResponse
     relay: Relay
-    unreached: int = 0
-    last: Attempt | None = None
+    unreached_count: int = 0
+    last_attempt: Attempt | None = None
 
 
-def verdict_on(head: Head, *, not_run: bool) -> Verdict:
+def outcome_of(head: Head, *, not_run: bool) -> AttemptOutcome:
     """Return what an attempt came to whose whole answer was not relayed."""
     if not_run:
-        return Verdict.not_run
+        return AttemptOutcome.not_run
     return (
-        Verdict.failed
+        AttemptOutcome.failed
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        else Verdict.answered
+        else AttemptOutcome.answered
     )
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -8,7 +8,7 @@
 
 from hitchdeck_core.clock import Clock
 from hitchdeck_edge.dispatch.answers import FinalResponse
-from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict
+from hitchdeck_edge.dispatch.attempts import ActiveRequest, Attempt, AttemptOutcome
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.dispatch.sender import Sender
@@ -43,13 +43,13 @@
         self.budget = budget
         self.now = now
 
-    def open(self, passage: Passage, caller: CallerConnection) -> Service:
+    def open(self, passage: Passage, caller: CallerConnection) -> ActiveRequest:
         """Return the service of a request, which is counted from now on."""
-        answers = FinalResponse(self.dialect, passage, caller)
+        response = FinalResponse(self.dialect, passage, caller)
         self.budget.count(passage.pool.name)
-        return Service(passage, caller, answers, Relay(passage, caller))
+        return ActiveRequest(passage, caller, response, Relay(passage, caller))
 
-    async def serve(self, service: Service) -> None:
+    async def serve(self, active: ActiveRequest) -> None:
         """Answer a request, finally, before its time is over.
 
         Raises
@@ -58,31 +58,31 @@
             The caller left; nobody is to be answered.
         """
         try:
-            async with asyncio.timeout(service.passage.ends - self.now()):
-                await self._serve(service)
+            async with asyncio.timeout(active.passage.ends - self.now()):
+                await self._serve(active)
         except TimeoutError:
-            self._doubt(service)
-            service.answers.time_out()
+            self._doubt(active)
+            active.response.time_out()
 
-    async def _serve(self, service: Service) -> None:
-        passage = service.passage
+    async def _serve(self, active: ActiveRequest) -> None:
+        passage = active.passage
         while True:
             choice = await self._choose(passage)
             if isinstance(choice, Refusal):
-                await self._give_up(service, choice)
+                await self._give_up(active, choice)
                 return
             passage.tried.add(choice.upstream.name)
-            if not await self.sender.send(service, choice):
-                if service.unreached < UNREACHED_MOST:
+            if not await self.sender.send(active, choice):
+                if active.unreached_count < UNREACHED_MOST:
                     continue
-                await self._give_up(service, Refusal.no_upstream)
+                await self._give_up(active, Refusal.no_upstream)
                 return
-            assert service.last is not None
-            if service.last.verdict is Verdict.answered:
-                await self._deliver(service, service.last)
+            assert active.last_attempt is not None
+            if active.last_attempt.outcome is AttemptOutcome.answered:
+                await self._deliver(active, active.last_attempt)
                 return
-            if not self._may_repeat(service):
-                await self._give_up(service, Refusal.no_attempt_left)
+            if not self._may_repeat(active):
+                await self._give_up(active, Refusal.no_attempt_left)
                 return
 
     async def _choose(self, passage: Passage) -> Choice | Refusal:
@@ -100,40 +100,42 @@
             raise TimeoutError
         return choice
 
-    def _doubt(self, service: Service) -> None:
+    def _doubt(self, active: ActiveRequest) -> None:
         """Ask whether the upstream has ended that still had a request at its end."""
-        last = service.last
-        if last is not None and last.verdict is Verdict.broken:
-            self.sender.doubt(service, last)
+        last_attempt = active.last_attempt
+        if last_attempt is not None and last_attempt.outcome is AttemptOutcome.broken:
+            self.sender.doubt(active, last_attempt)
 
-    def _may_repeat(self, service: Service) -> bool:
-        passage = service.passage
+    def _may_repeat(self, active: ActiveRequest) -> bool:
+        passage = active.passage
         if passage.sent >= passage.route.attempts:
             return False
         if passage.may_have_run and not passage.repeatable:
             return False
-        if service.caller.started and not passage.route.resumable:
+        if active.caller.started and not passage.route.resumable:
             return False
         return self.budget.take(passage.pool.name)
 
-    async def _deliver(self, service: Service, attempt: Attempt) -> None:
-        if attempt.relayed:
-            service.answers.outcome = 'streamed'
+    async def _deliver(self, active: ActiveRequest, attempt: Attempt) -> None:
+        if attempt.streamed:
+            active.response.outcome = 'streamed'
             return
         assert attempt.head is not None
-        await service.answers.forward(attempt.head, attempt.body)
+        await active.response.forward(attempt.head, attempt.body)
 
-    async def _give_up(self, service: Service, refusal: Refusal) -> None:
+    async def _give_up(self, active: ActiveRequest, refusal: Refusal) -> None:
         """End with the upstream's own word if it has one, else with ours."""
-        last = service.last
-        failed = last is not None and last.verdict is Verdict.failed
-        if failed and not service.caller.started:
-            assert last is not None
-            await self._deliver(service, last)
+        last_attempt = active.last_attempt
+        failed = (
+            last_attempt is not None and last_attempt.outcome is AttemptOutcome.failed
+        )
+        if failed and not active.caller.started:
+            assert last_attempt is not None
+            await self._deliver(active, last_attempt)
             return
         # Callers came back after 0.1 s to a box with nothing for them for longer.
-        pause = self.chooser.pause_left(service.passage.pool.name)
+        pause = self.chooser.pause_left(active.passage.pool.name)
         if pause and refusal in NOBODY_TAKES_IT:
-            service.answers.fail(Refusal.paused, pause)
+            active.response.fail(Refusal.paused, pause)
             return
-        service.answers.fail(refusal)
+        active.response.fail(refusal)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -9,7 +9,12 @@
 from hitchdeck_core.ids import LifeId, UpstreamName
 from hitchdeck_core.quarantine.endings import Endings
 from hitchdeck_core.quarantine.quarantine import Quarantine
-from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict, verdict_on
+from hitchdeck_edge.dispatch.attempts import (
+    ActiveRequest,
+    Attempt,
+    AttemptOutcome,
+    outcome_of,
+)
 from hitchdeck_edge.dispatch.connections import Connections
 from hitchdeck_edge.dispatch.exchange import Connection, Head, Outgoing
 from hitchdeck_edge.errors import (
@@ -52,9 +57,9 @@
         self.connections = connections
         self.now = now
 
-    async def send(self, service: Service, choice: Choice) -> bool:
+    async def send(self, active: ActiveRequest, choice: Choice) -> bool:
         """Send the request to an upstream; tell whether it was sent."""
-        passage = service.passage
+        passage = active.passage
         attempt = self._open_attempt(passage, choice)
         connection: Connection | None = None
         try:
@@ -62,12 +67,12 @@
                 choice.upstream,
                 sure=not passage.repeatable,
             )
-            if service.caller.has_disconnected():
+            if active.caller.has_disconnected():
                 self.connections.put_back(choice.upstream.name, connection)
                 raise CallerDisconnectedError('closed before the request was sent')
             self._check_wanted(choice, connection)
-            self._send_on(service, attempt, connection)
-            await self._receive(service, attempt, connection)
+            self._send_on(active, attempt, connection)
+            await self._receive(active, attempt, connection)
         except UpstreamNotAcceptingError as error:
             logs.info(
                 'upstream spared',
@@ -77,22 +82,22 @@
             )
             return False
         except NotSentError as error:
-            service.unreached += 1
+            active.unreached_count += 1
             self._note_unreached(passage, choice, error)
             return False
         except IncompleteResponseError as error:
             attempt.reason = str(error)
         finally:
             self._close_attempt(attempt, connection)
-        self._judge(service, attempt)
+        self._judge(active, attempt)
         return True
 
-    def doubt(self, service: Service, attempt: Attempt) -> None:
+    def doubt(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.endings.note(
             upstream.life,
-            service.passage.content,
+            active.passage.content,
             partial(self.connections.reaches, upstream),
         )
 
@@ -146,13 +151,13 @@
 
     def _send_on(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
     ) -> None:
         self.connections.occupy(attempt.upstream, connection)
-        connection.send(self._outgoing(service.passage, attempt.choice))
-        self._note_sent(service, attempt)
+        connection.send(self._outgoing(active.passage, attempt.choice))
+        self._note_sent(active, attempt)
 
     def _outgoing(self, passage: Passage, choice: Choice) -> Outgoing:
         forwarding = Forwarding(
@@ -170,22 +175,22 @@
             passage.body,
         )
 
-    def _note_sent(self, service: Service, attempt: Attempt) -> None:
-        passage = service.passage
+    def _note_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
+        passage = active.passage
         passage.sent += 1
         passage.may_have_run = True
-        service.last = attempt
+        active.last_attempt = attempt
         prompt = passage.call.prompt
         if prompt is not None and passage.pool.engine is not None:
             self.placement.memory.note(attempt.upstream, prompt)
 
     async def _receive(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._own_head(service.passage, attempt, connection)
+        head = await self._own_head(active.passage, attempt, connection)
         attempt.head = head
         mark = self.dialect.read_answer(head.status, head.headers)
         attempt.pause = mark.pause
@@ -197,29 +202,29 @@
             raise IncompleteResponseError(
                 'a success that the upstream does not vouch for'
             )
-        if success and service.passage.route.streams:
-            await self._relay(service, attempt, connection, head)
+        if success and active.passage.route.streams:
+            await self._relay(active, attempt, connection, head)
         else:
             attempt.body = await connection.read_body()
             attempt.ticket.start()
-            attempt.verdict = verdict_on(head, not_run=mark.not_run)
+            attempt.outcome = outcome_of(head, not_run=mark.not_run)
         self.connections.give_back(attempt.choice.upstream, connection, head.headers)
 
     async def _relay(
         self,
-        service: Service,
+        active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
         head: Head,
     ) -> None:
         def on_event() -> None:
             if attempt.ticket.reading:
-                attempt.first_event = self.now() - attempt.began
-                self._note_start(service.passage, attempt)
+                attempt.first_event = self.now() - attempt.started_at
+                self._note_start(active.passage, attempt)
 
-        attempt.relayed = True
-        await service.relay.forward(connection, head, on_event)
-        attempt.verdict = Verdict.answered
+        attempt.streamed = True
+        await active.relay.forward(connection, head, on_event)
+        attempt.outcome = AttemptOutcome.answered
 
     def _note_start(self, passage: Passage, attempt: Attempt) -> None:
         attempt.ticket.start()
@@ -262,34 +267,34 @@
         if mark.leaving:
             self.backpressure.leave(name)
 
-    def _judge(self, service: Service, attempt: Attempt) -> None:
+    def _judge(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
-        if attempt.verdict in {Verdict.answered, Verdict.failed}:
-            self.quarantine.note_answer(service.passage.content)
-        if attempt.verdict is Verdict.answered:
-            health.succeed(attempt.upstream, self.now() - attempt.began)
+        if attempt.outcome in {AttemptOutcome.answered, AttemptOutcome.failed}:
+            self.quarantine.note_answer(active.passage.content)
+        if attempt.outcome is AttemptOutcome.answered:
+            health.succeed(attempt.upstream, self.now() - attempt.started_at)
             return
-        if attempt.verdict is Verdict.broken:
+        if attempt.outcome is AttemptOutcome.broken:
             health.fail(attempt.upstream, attempt.reason)
             self.link.fail(attempt.upstream)
-            self.doubt(service, attempt)
+            self.doubt(active, attempt)
         else:
             health.err(attempt.upstream)
-        if attempt.verdict is Verdict.not_run:
-            service.passage.may_have_run = attempt.ran_before
+        if attempt.outcome is AttemptOutcome.not_run:
+            active.passage.may_have_run = attempt.may_have_run_before
         logs.info(
             'attempt failed',
-            request=service.passage.call.request,
-            content=service.passage.content.hex(),
+            request=active.passage.call.request,
+            content=active.passage.content.hex(),
             upstream=attempt.upstream,
-            verdict=attempt.verdict.value,
+            verdict=attempt.outcome.value,
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
-            attempt=service.passage.sent,
+            attempt=active.passage.sent,
             pause=attempt.pause,
             leaving=attempt.leaving,
-            decided_by=service.passage.decided_by,
+            decided_by=active.passage.decided_by,
         )
 
     def _note_unreached(
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
 from hitchdeck_edge.dispatch.answers import send_refusal
-from hitchdeck_edge.dispatch.attempts import Service
+from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
 from hitchdeck_edge.model.calls import Call
@@ -158,13 +158,13 @@
             self._record_end(call.request, caller, decision.name, arrived, call)
             return
         self.metrics.record_admitted(decision.route.name)
-        service = self.dispatcher.open(decision, caller)
+        active = self.dispatcher.open(decision, caller)
         try:
-            await self.dispatcher.serve(service)
+            await self.dispatcher.serve(active)
         except (CallerDisconnectedError, asyncio.CancelledError):
             # The task that serves this request is cancelled as its caller left.
-            service.answers.outcome = CALLER_DISCONNECTED
-        self._record_service(service)
+            active.response.outcome = CALLER_DISCONNECTED
+        self._record_service(active)
 
     async def _wait_for_document(self, call: Call, arrived: float) -> None:
         """Wait a little in a box that has just started, rather than refuse.
@@ -211,28 +211,28 @@
         longest = min(self.metrics.longest_seconds(route.name), route.time_limit)
         return self.graceful_stop.should_refuse(longest, streams=route.streams)
 
-    def _record_service(self, service: Service) -> None:
-        passage = service.passage
-        last = service.last
+    def _record_service(self, active: ActiveRequest) -> None:
+        passage = active.passage
+        last_attempt = active.last_attempt
         seconds = self.now() - passage.arrived
-        self.metrics.record_served(passage, service.answers.outcome, seconds)
+        self.metrics.record_served(passage, active.response.outcome, seconds)
         logs.info(
             'request',
             request=passage.call.request,
             route=passage.route.name,
             account=passage.account,
             version=passage.version,
-            outcome=service.answers.outcome,
-            status=service.caller.status,
-            upstream=last.upstream if last else '',
+            outcome=active.response.outcome,
+            status=active.caller.status,
+            upstream=last_attempt.upstream if last_attempt else '',
             sent=passage.sent,
-            expected_queue=round(last.choice.queue, 3) if last else 0,
+            expected_queue=round(last_attempt.choice.queue, 3) if last_attempt else 0,
             decided_by=passage.decided_by,
-            unread=last.choice.tokens if last else 0,
-            first_event=round(last.first_event, 3) if last else 0,
+            unread=last_attempt.choice.tokens if last_attempt else 0,
+            first_event=round(last_attempt.first_event, 3) if last_attempt else 0,
             goal=passage.route.goal,
             seconds=round(seconds, 3),
-            **_quarantine_fields(passage, service.answers.outcome),
+            **_quarantine_fields(passage, active.response.outcome),
             **_size_fields(passage.call),
         )
 
