--- a/packages/edge/src/hitchdeck_edge/dispatch/budget.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/budget.py
@@ -10,15 +10,15 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName
 
-CAUTION = 0.8
+SAFETY_FACTOR = 0.8
 """Part of the budget that is used: a box counts requests as it sees them,
 while those cut off on their way to it count for nobody."""
 
-FEWEST_BOXES = 4
+MIN_BOXES = 4
 """Assumed where a hub has not yet said how many boxes there are."""
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and repeats by pool over a sliding window."""
 
     def __init__(self, share: float, extra: float, window: float, now: Clock) -> None:
@@ -26,33 +26,33 @@
         self.extra = extra
         self.window = window
         self.now = now
-        self.boxes = FEWEST_BOXES
+        self.boxes = MIN_BOXES
         self.requests: dict[PoolName, deque[float]] = defaultdict(deque)
-        self.repeats: dict[PoolName, deque[float]] = defaultdict(deque)
+        self.retries: dict[PoolName, deque[float]] = defaultdict(deque)
 
-    def part_of_fleet(self) -> float:
+    def fleet_fraction(self) -> float:
         """Return which part of the fleet's boxes this one is."""
-        return 1 / max(self.boxes, FEWEST_BOXES)
+        return 1 / max(self.boxes, MIN_BOXES)
 
-    def count(self, pool: PoolName) -> None:
+    def count_request(self, pool: PoolName) -> None:
         """Count a caller's request."""
         requests = self.requests[pool]
         requests.append(self.now())
-        _recent(requests, self.now() - self.window)
+        _count_recent(requests, self.now() - self.window)
 
-    def take(self, pool: PoolName) -> bool:
+    def try_spend(self, pool: PoolName) -> bool:
         """Count a repeat if the budget has room for it."""
         horizon = self.now() - self.window
-        requests = _recent(self.requests[pool], horizon)
-        repeats = _recent(self.repeats[pool], horizon)
-        allowed = self.share * requests + self.extra * self.part_of_fleet()
-        if repeats + 1 > allowed * CAUTION:
+        requests = _count_recent(self.requests[pool], horizon)
+        retries = _count_recent(self.retries[pool], horizon)
+        allowed = self.share * requests + self.extra * self.fleet_fraction()
+        if retries + 1 > allowed * SAFETY_FACTOR:
             return False
-        self.repeats[pool].append(self.now())
+        self.retries[pool].append(self.now())
         return True
 
 
-def _recent(times: deque[float], horizon: float) -> int:
+def _count_recent(times: deque[float], horizon: float) -> int:
     while times and times[0] < horizon:
         times.popleft()
     return len(times)
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -9,7 +9,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.attempts import ActiveRequest, Attempt, AttemptOutcome
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.model.dialect import Dialect
@@ -34,7 +34,7 @@
         dialect: Dialect,
         chooser: Chooser,
         sender: Sender,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         now: Clock,
     ) -> None:
         self.dialect = dialect
@@ -46,7 +46,7 @@
     def open(self, passage: Passage, caller: CallerConnection) -> ActiveRequest:
         """Return the service of a request, which is counted from now on."""
         response = FinalResponse(self.dialect, passage, caller)
-        self.budget.count(passage.pool.name)
+        self.budget.count_request(passage.pool.name)
         return ActiveRequest(passage, caller, response, Relay(passage, caller))
 
     async def serve(self, active: ActiveRequest) -> None:
@@ -114,7 +114,7 @@
             return False
         if active.caller.started and not passage.route.resumable:
             return False
-        return self.budget.take(passage.pool.name)
+        return self.budget.try_spend(passage.pool.name)
 
     async def _deliver(self, active: ActiveRequest, attempt: Attempt) -> None:
         if attempt.streamed:
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.quarantine.messages import encode_news
 from hitchdeck_core.quarantine.quarantine import NOTHING, Told
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.links.attend import Attendance, box_idle, box_pause
 from hitchdeck_edge.links.hubs import HubBook
 from hitchdeck_edge.links.intake import take_news
@@ -32,7 +32,7 @@
         self,
         settings: EntrySettings,
         known: Knowledge,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         targets: ReliefTargets,
     ) -> None:
         self.settings = settings
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -12,7 +12,7 @@
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.connections import Connections
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
@@ -147,7 +147,7 @@
     knowledge: Knowledge,
     book: HubBook,
 ) -> Dispatcher:
-    budget = RepeatBudget(
+    budget = RetryBudget(
         settings.retry_share,
         settings.retry_extra,
         settings.retry_window,
@@ -162,7 +162,7 @@
     )
     chooser = Chooser(settings.domain, knowledge.scheduler, link)
     # A box that decides alone has the part of one box.
-    chooser.local.placement.cold_budget.part = budget.part_of_fleet
+    chooser.local.placement.cold_budget.part = budget.fleet_fraction
     connections = Connections(boot_seconds)
     quarantine = knowledge.quarantine
     sender = Sender(dialect, chooser, connections, quarantine, boot_seconds)
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import HubFrame, Load
-from hitchdeck_edge.dispatch.budget import RepeatBudget
+from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
 from hitchdeck_edge.links.hubs import HubBook
 from hitchdeck_edge.scheduling.books import Ticket
@@ -45,7 +45,7 @@
     link = EntryLink(
         settings,
         known,
-        RepeatBudget(0.2, 50, 10, clock),
+        RetryBudget(0.2, 50, 10, clock),
         ReliefTargets(clock),
     )
     book = HubBook('box', 'a', [HUB], clock)
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -10,7 +10,7 @@
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.log_output import BURST_LINES, WAITING_BYTES, BoundedOutput
 from hitchdeck_edge.dispatch.answers import end_to_end_headers
-from hitchdeck_edge.dispatch.budget import CAUTION, RepeatBudget
+from hitchdeck_edge.dispatch.budget import SAFETY_FACTOR, RetryBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
 from hitchdeck_edge.links.placing import PlacingLink
@@ -27,14 +27,14 @@
 
 def test_repeats_stay_within_the_budget_of_the_fleet() -> None:
     clock = FakeClock()
-    budget = RepeatBudget(0.2, 50, 10, clock)
+    budget = RetryBudget(0.2, 50, 10, clock)
     budget.boxes = 10
     for _ in range(100):
-        budget.count(POOL)
-    taken = sum(budget.take(POOL) for _ in range(100))
-    assert taken == int((0.2 * 100 + 50 / 10) * CAUTION)
+        budget.count_request(POOL)
+    taken = sum(budget.try_spend(POOL) for _ in range(100))
+    assert taken == int((0.2 * 100 + 50 / 10) * SAFETY_FACTOR)
     clock.seconds += 11
-    assert budget.take(POOL)
+    assert budget.try_spend(POOL)
 
 
 @pytest.mark.parametrize(
@@ -159,10 +159,10 @@
 
 def test_counts_of_requests_do_not_grow_with_time() -> None:
     clock = FakeClock()
-    budget = RepeatBudget(0.2, 50, 10, clock)
+    budget = RetryBudget(0.2, 50, 10, clock)
     for _ in range(500):
         clock.seconds += 1
-        budget.count(POOL)
+        budget.count_request(POOL)
     assert len(budget.requests[POOL]) <= 11
 
 
