--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -5,7 +5,7 @@
 
 from hitchdeck_core.ids import RequestId
 from hitchdeck_core.retry_after import RETRY_AFTER
-from hitchdeck_edge.dispatch.exchange import Head
+from hitchdeck_edge.dispatch.exchange import ResponseHead
 from hitchdeck_edge.model.calls import Header
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.model.passage import Passage
@@ -95,7 +95,7 @@
         self.caller = caller
         self.outcome = 'open'
 
-    async def forward(self, head: Head, body: bytes) -> None:
+    async def forward(self, head: ResponseHead, body: bytes) -> None:
         """Give an upstream's whole answer."""
         self.outcome = 'answered'
         await self.caller.respond(
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -6,7 +6,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.dispatch.answers import FinalResponse
-from hitchdeck_edge.dispatch.exchange import Head
+from hitchdeck_edge.dispatch.exchange import ResponseHead
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
@@ -47,7 +47,7 @@
     number: int
     may_have_run_before: bool
     outcome: AttemptOutcome = AttemptOutcome.broken
-    head: Head | None = None
+    head: ResponseHead | None = None
     body: bytes = b''
     reason: str = ''
     streamed: bool = False
@@ -73,7 +73,7 @@
     last_attempt: Attempt | None = None
 
 
-def outcome_of(head: Head, *, not_run: bool) -> AttemptOutcome:
+def outcome_of(head: ResponseHead, *, not_run: bool) -> AttemptOutcome:
     """Return what an attempt came to whose whole answer was not relayed."""
     if not_run:
         return AttemptOutcome.not_run
--- a/packages/edge/src/hitchdeck_edge/dispatch/connections.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/connections.py
@@ -17,25 +17,25 @@
 """Taken off the time that an upstream says it keeps an idle connection: a
 request on its way while the upstream closes would be lost."""
 
-IDLE_SECONDS = 10.0
+DEFAULT_IDLE_SECONDS = 10.0
 """How long a connection is kept where the upstream does not say."""
 
-SURE_SECONDS = 1.0
+FRESH_SECONDS = 1.0
 """How long a connection may have rested that carries a request which must
 not run twice.  An upstream may drop an idle connection without a word, and
 then nobody knows whether such a request ran."""
 
-PROBES = 2
+CONNECT_ATTEMPTS = 2
 """Attempts to connect before an upstream counts as out of reach: one opening packet
 may be lost."""
 
-SWEEP_SECONDS = 2.0
+SWEEP_INTERVAL_SECONDS = 2.0
 """Between two closings of connections that have rested too long."""
 
 _TIMEOUT = re.compile(rb'timeout\s*=\s*(\d+)')
 
 
-class Connections:
+class ConnectionPool:
     """Idle connections by upstream; the one used last is used next."""
 
     def __init__(self, now: Clock) -> None:
@@ -43,7 +43,7 @@
         self.idle: dict[UpstreamName, list[Connection]] = defaultdict(list)
         self.busy: dict[UpstreamName, set[Connection]] = defaultdict(set)
 
-    async def take(self, upstream: Upstream, *, sure: bool) -> Connection:
+    async def acquire(self, upstream: Upstream, *, fresh: bool) -> Connection:
         """Return a connection that is open, a new one if need be.
 
         Raises
@@ -54,18 +54,18 @@
         kept = self.idle[upstream.name]
         while kept:
             connection = kept.pop()
-            if not connection.rests():
+            if not connection.is_quiet():
                 connection.abort()
                 continue
             limit = connection.idle_limit
-            if sure:
-                limit = min(limit, SURE_SECONDS)
+            if fresh:
+                limit = min(limit, FRESH_SECONDS)
             if self._idle_seconds(connection) < limit:
                 return connection
             connection.abort()
         return await self._open(upstream)
 
-    async def reaches(self, upstream: Upstream) -> bool:
+    async def is_reachable(self, upstream: Upstream) -> bool:
         """Tell whether an upstream accepts connections and goes on running.
 
         The last connection of the probe is kept for later requests.
@@ -77,16 +77,16 @@
             if connection is None:
                 return None
             opened.append(connection)
-            return connection.until_closed
+            return connection.wait_closed
 
         try:
             return await stays_reachable(open_probe)
         finally:
             for connection in opened:
                 if connection.usable:
-                    self.put_back(upstream.name, connection)
+                    self.return_unused(upstream.name, connection)
 
-    def give_back(
+    def keep_alive(
         self,
         upstream: Upstream,
         connection: Connection,
@@ -101,47 +101,47 @@
         connection.idle_since = self.now()
         self.idle[upstream.name].append(connection)
 
-    def put_back(self, upstream: UpstreamName, connection: Connection) -> None:
+    def return_unused(self, upstream: UpstreamName, connection: Connection) -> None:
         """Keep a connection that was taken, and over which nothing was sent."""
         self.idle[upstream].append(connection)
 
-    def drop(self, upstream: UpstreamName) -> None:
+    def close_idle(self, upstream: UpstreamName) -> None:
         """Close what is kept to an upstream."""
         for connection in self.idle.pop(upstream, []):
             connection.abort()
 
-    def occupy(self, upstream: UpstreamName, connection: Connection) -> None:
+    def mark_busy(self, upstream: UpstreamName, connection: Connection) -> None:
         """Note that an answer is awaited on a connection."""
         self.busy[upstream].add(connection)
 
-    def release(self, upstream: UpstreamName, connection: Connection) -> None:
+    def mark_done(self, upstream: UpstreamName, connection: Connection) -> None:
         """Note that no answer is awaited on a connection any more."""
         self.busy[upstream].discard(connection)
         if not self.busy[upstream]:
             self.busy.pop(upstream)
 
-    def cut(self, upstream: UpstreamName) -> None:
+    def abort_all(self, upstream: UpstreamName) -> None:
         """Break off what waits for an upstream that can't answer any more."""
-        self.drop(upstream)
+        self.close_idle(upstream)
         for connection in self.busy.get(upstream, ()):
-            connection.break_off()
+            connection.abort_pending()
 
     async def sweep(self) -> None:
         """Close connections that have rested too long; for ever."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             for name in list(self.idle):
                 self._sweep_one(name)
 
     async def _open(self, upstream: Upstream) -> Connection:
         connection = await connect(upstream.address)
         connection.idle_since = self.now()
-        connection.idle_limit = IDLE_SECONDS
+        connection.idle_limit = DEFAULT_IDLE_SECONDS
         return connection
 
     async def _open_probe(self, upstream: Upstream) -> Connection | None:
         refused = 0
-        while refused < PROBES:
+        while refused < CONNECT_ATTEMPTS:
             try:
                 return await self._open(upstream)
             except NotSentError:
@@ -167,7 +167,7 @@
 
 
 def _idle_limit(headers: Iterable[Header]) -> float:
-    limit = IDLE_SECONDS
+    limit = DEFAULT_IDLE_SECONDS
     for name, text in headers:
         lowered = name.lower()
         if lowered == b'connection' and b'close' in text.lower():
--- a/packages/edge/src/hitchdeck_edge/dispatch/exchange.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/exchange.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class UpstreamRequest:
     """A request as it goes to an upstream."""
 
     method: bytes
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """Status and headers of an upstream's answer."""
 
     status: int
@@ -58,7 +58,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = h11.Connection(h11.CLIENT)
         self.busy = False
-        self.spoiled = False
+        self.not_reusable = False
         self.closed = False
         self.failure: Exception | None = None
         self.idle_since = 0.0
@@ -99,9 +99,9 @@
     @property
     def usable(self) -> bool:
         """Tell whether another request may go over this connection."""
-        return not (self.spoiled or self.closed or self.busy)
+        return not (self.not_reusable or self.closed or self.busy)
 
-    def rests(self) -> bool:
+    def is_quiet(self) -> bool:
         """Tell whether nothing has come since the last answer, a close neither.
 
         A loop that is behind learns it only after the next request was sent,
@@ -112,31 +112,31 @@
             or holds_unread(self.transport.get_extra_info('socket').fileno())
         )
 
-    def send(self, outgoing: Outgoing) -> None:
+    def send(self, upstream_request: UpstreamRequest) -> None:
         """Send a request; raise ``NotSentError`` if nothing can have gone out."""
         if self.closed or self.transport is None:
             raise NotSentError('the connection had closed')
         self.busy = True
         request = h11.Request(
-            method=outgoing.method,
-            target=outgoing.target,
-            headers=outgoing.headers,
+            method=upstream_request.method,
+            target=upstream_request.target,
+            headers=upstream_request.headers,
         )
         parts = [self.parser.send(request)]
-        if outgoing.body:
-            parts.append(self.parser.send(h11.Data(data=outgoing.body)))
+        if upstream_request.body:
+            parts.append(self.parser.send(h11.Data(data=upstream_request.body)))
         parts.append(self.parser.send(h11.EndOfMessage()))
         self.transport.write(b''.join(part for part in parts if part))
 
-    async def read_head(self) -> Head:
+    async def read_head(self) -> ResponseHead:
         """Return the answer's head, or raise ``IncompleteResponseError``."""
-        event = await self._event()
+        event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
-            event = await self._event()
+            event = await self._next_event()
         if not isinstance(event, h11.Response):
             raise IncompleteResponseError(f'no answer but {type(event).__name__}')
         headers = list(event.headers.raw_items())
-        return Head(event.status_code, bytes(event.reason), headers)
+        return ResponseHead(event.status_code, bytes(event.reason), headers)
 
     async def read_data(self) -> bytes:
         """Return the next piece of the body, empty at its whole end.
@@ -146,7 +146,7 @@
         BrokenAnswerError
             The answer ended before its end.
         """
-        event = await self._event()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -161,12 +161,12 @@
             pieces.append(piece)
         return b''.join(pieces)
 
-    async def until_closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Return when the upstream has closed or reset an idle connection."""
         while not self.closed:
             await self._wait()
 
-    def expect_another_answer(self) -> bool:
+    def expect_another_response(self) -> bool:
         """Make ready to read once more, after an answer to an earlier request.
 
         The parser's state is that of the finished answer; a new one reads on
@@ -177,10 +177,12 @@
             return False
         self.parser = h11.Connection(h11.CLIENT)
         # The request went out long ago; this only brings the states in line.
-        self.parser.send(h11.Request(method='GET', target='/', headers=[_ANY_HOST]))
+        self.parser.send(
+            h11.Request(method='GET', target='/', headers=[_PLACEHOLDER_HOST])
+        )
         self.parser.send(h11.EndOfMessage())
         self.busy = True
-        self.spoiled = True
+        self.not_reusable = True
         if rest:
             self.parser.receive_data(rest)
         return True
@@ -195,7 +197,7 @@
         if self.transport is not None and not self.closed:
             self.transport.resume_reading()
 
-    def break_off(self) -> None:
+    def abort_pending(self) -> None:
         """Close at once, and let whoever waits for an answer know."""
         self.failure = ConnectionAbortedError('the upstream is gone')
         self.abort()
@@ -203,12 +205,12 @@
 
     def abort(self) -> None:
         """Close at once; an upstream drops the work of a closed connection."""
-        self.spoiled = True
+        self.not_reusable = True
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
-    async def _event(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             event = self._parse()
             if event is not None:
@@ -223,7 +225,7 @@
         try:
             event = self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            self.spoiled = True
+            self.not_reusable = True
             raise IncompleteResponseError(f'not an answer: {error}') from error
         if event is h11.PAUSED:
             raise IncompleteResponseError('more than one answer came')
@@ -245,13 +247,13 @@
         rest, _ = self.parser.trailing_data
         states = (self.parser.our_state, self.parser.their_state)
         reusable = states == (h11.DONE, h11.DONE)
-        if rest or not reusable or self.spoiled:
-            self.spoiled = True
+        if rest or not reusable or self.not_reusable:
+            self.not_reusable = True
             return
         self.parser.start_next_cycle()
 
 
-_ANY_HOST: Header = (b'host', b'any')
+_PLACEHOLDER_HOST: Header = (b'host', b'any')
 
 
 async def connect(address: Address) -> Connection:
@@ -259,9 +261,9 @@
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     # A loop that is behind must not take its own delay for the upstream's.
-    patience = CONNECT_SECONDS + CONNECT_TURNS * loop_lag()
+    timeout_seconds = CONNECT_SECONDS + CONNECT_TURNS * loop_lag()
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(timeout_seconds):
             _, connection = await loop.create_connection(Connection, host, port)
     except (OSError, TimeoutError) as error:
         raise NotSentError(f'{address}: {error!r}') from error
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -4,7 +4,7 @@
 
 from hitchdeck_edge.dispatch.answers import response_headers
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.dispatch.exchange import Connection, Head
+from hitchdeck_edge.dispatch.exchange import Connection, ResponseHead
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.serving.caller import CallerConnection
 
@@ -24,7 +24,7 @@
     async def forward(
         self,
         connection: Connection,
-        head: Head,
+        head: ResponseHead,
         on_event: Callable[[], None],
     ) -> None:
         """Pass one upstream's part on; returns at the stream's whole end.
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -15,8 +15,8 @@
     AttemptOutcome,
     outcome_of,
 )
-from hitchdeck_edge.dispatch.connections import Connections
-from hitchdeck_edge.dispatch.exchange import Connection, Head, Outgoing
+from hitchdeck_edge.dispatch.connections import ConnectionPool
+from hitchdeck_edge.dispatch.exchange import Connection, ResponseHead, UpstreamRequest
 from hitchdeck_edge.errors import (
     CallerDisconnectedError,
     IncompleteResponseError,
@@ -43,7 +43,7 @@
         self,
         dialect: Dialect,
         chooser: Chooser,
-        connections: Connections,
+        connections: ConnectionPool,
         quarantine: Quarantine,
         now: Clock,
     ) -> None:
@@ -63,12 +63,12 @@
         attempt = self._open_attempt(passage, choice)
         connection: Connection | None = None
         try:
-            connection = await self.connections.take(
+            connection = await self.connections.acquire(
                 choice.upstream,
-                sure=not passage.repeatable,
+                fresh=not passage.repeatable,
             )
             if active.caller.has_disconnected():
-                self.connections.put_back(choice.upstream.name, connection)
+                self.connections.return_unused(choice.upstream.name, connection)
                 raise CallerDisconnectedError('closed before the request was sent')
             self._check_wanted(choice, connection)
             self._send_on(active, attempt, connection)
@@ -98,7 +98,7 @@
         self.endings.note(
             upstream.life,
             active.passage.content,
-            partial(self.connections.reaches, upstream),
+            partial(self.connections.is_reachable, upstream),
         )
 
     def leave(self, record: Upstream, newer: Upstream) -> None:
@@ -108,9 +108,9 @@
         earlier one left open, and what is open to the new one goes on.
         """
         if record.address == newer.address:
-            self.connections.drop(record.name)
+            self.connections.close_idle(record.name)
         else:
-            self.connections.cut(record.name)
+            self.connections.abort_all(record.name)
         self.endings.confirm(record.life)
         self.backpressure.pass_on(record.name, newer.name)
 
@@ -131,7 +131,7 @@
         self.link.end(attempt.number)
         if connection is None:
             return
-        self.connections.release(attempt.upstream, connection)
+        self.connections.mark_done(attempt.upstream, connection)
         if connection.busy:
             connection.abort()
 
@@ -143,10 +143,10 @@
         """
         name = choice.upstream.name
         if not self.backpressure.wants_requests(name):
-            self.connections.put_back(name, connection)
+            self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(f'{name} asked for a pause, or leaves')
         if not self.placement.registry.takes_work(choice.upstream):
-            self.connections.put_back(name, connection)
+            self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(f'{name} may get no new work')
 
     def _send_on(
@@ -155,11 +155,11 @@
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        self.connections.occupy(attempt.upstream, connection)
-        connection.send(self._outgoing(active.passage, attempt.choice))
+        self.connections.mark_busy(attempt.upstream, connection)
+        connection.send(self._upstream_request(active.passage, attempt.choice))
         self._note_sent(active, attempt)
 
-    def _outgoing(self, passage: Passage, choice: Choice) -> Outgoing:
+    def _upstream_request(self, passage: Passage, choice: Choice) -> UpstreamRequest:
         forwarding = Forwarding(
             upstream=choice.upstream,
             account=passage.account,
@@ -168,7 +168,7 @@
             body_bytes=len(passage.body),
         )
         headers = self.dialect.forward_headers(passage.call, forwarding)
-        return Outgoing(
+        return UpstreamRequest(
             passage.call.method,
             passage.call.target,
             headers,
@@ -208,14 +208,14 @@
             attempt.body = await connection.read_body()
             attempt.ticket.start()
             attempt.outcome = outcome_of(head, not_run=mark.not_run)
-        self.connections.give_back(attempt.choice.upstream, connection, head.headers)
+        self.connections.keep_alive(attempt.choice.upstream, connection, head.headers)
 
     async def _relay(
         self,
         active: ActiveRequest,
         attempt: Attempt,
         connection: Connection,
-        head: Head,
+        head: ResponseHead,
     ) -> None:
         def on_event() -> None:
             if attempt.ticket.reading:
@@ -237,7 +237,7 @@
         passage: Passage,
         attempt: Attempt,
         connection: Connection,
-    ) -> Head:
+    ) -> ResponseHead:
         """Return the head of the answer to this very request.
 
         An answer to an earlier one may come late on a kept connection.
@@ -254,7 +254,7 @@
                 request=passage.call.request,
                 answered=mark.request,
             )
-            if not connection.expect_another_answer():
+            if not connection.expect_another_response():
                 break
         raise IncompleteResponseError('only answers to other requests came')
 
@@ -311,4 +311,4 @@
         )
         self.placement.health.fail(choice.upstream.name, 'not reached')
         self.link.fail(choice.upstream.name)
-        self.connections.drop(choice.upstream.name)
+        self.connections.close_idle(choice.upstream.name)
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -13,7 +13,7 @@
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_edge.dispatch.budget import RetryBudget
-from hitchdeck_edge.dispatch.connections import Connections
+from hitchdeck_edge.dispatch.connections import ConnectionPool
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.links.attend import Attendant
@@ -104,7 +104,7 @@
         sender = self.admission.dispatcher.sender
         registry = self.link.known.registry
         for name in registry.gone():
-            sender.connections.drop(name)
+            sender.connections.close_idle(name)
         for record, newer in registry.replaced():
             sender.leave(record, newer)
         sender.backpressure.keep(registry.names())
@@ -163,7 +163,7 @@
     chooser = Chooser(settings.domain, knowledge.scheduler, link)
     # A box that decides alone has the part of one box.
     chooser.local.placement.cold_budget.part = budget.fleet_fraction
-    connections = Connections(boot_seconds)
+    connections = ConnectionPool(boot_seconds)
     quarantine = knowledge.quarantine
     sender = Sender(dialect, chooser, connections, quarantine, boot_seconds)
     return Dispatcher(dialect, chooser, sender, budget, boot_seconds)
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -20,7 +20,7 @@
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.dispatch.connections import Connections
+from hitchdeck_edge.dispatch.connections import ConnectionPool
 from hitchdeck_router.dispatch.calls import takes_connections
 from tests.common.scheduling import engine
 
@@ -51,7 +51,7 @@
 
 def of_box(address: Address) -> Reaches:
     upstream = replace(engine('e0'), address=address)
-    return partial(Connections(boot_seconds).reaches, upstream)
+    return partial(ConnectionPool(boot_seconds).is_reachable, upstream)
 
 
 @pytest.mark.parametrize('asker', [of_router, of_box])
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -138,17 +138,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = site.boxes[0].admission.dispatcher.sender
-    take = sender.connections.take
+    take = sender.connections.acquire
     told: list[str] = []
 
-    async def take_while_told(upstream: Upstream, *, sure: bool) -> Connection:
-        connection = await take(upstream, sure=sure)
+    async def take_while_told(upstream: Upstream, *, fresh: bool) -> Connection:
+        connection = await take(upstream, fresh=fresh)
         if not told:
             told.append(upstream.name)
             sender.backpressure.pause(upstream.name, PAUSE)
         return connection
 
-    monkeypatch.setattr(sender.connections, 'take', take_while_told)
+    monkeypatch.setattr(sender.connections, 'acquire', take_while_told)
     assert await ask_often(site, pool, 1, 'r') == [200]
     seen = {worker.life: len(worker.seen) for worker in of_pool(site, pool)}
     assert seen.pop(told[0]) == 0
--- a/tests/edge/test_lethal_requests.py
+++ b/tests/edge/test_lethal_requests.py
@@ -102,6 +102,6 @@
         return Connection()
 
     monkeypatch.setattr(connections, 'connect', connect)
-    kept = connections.Connections(float)
-    assert await kept.reaches(engine('e0')) is reached
+    kept = connections.ConnectionPool(float)
+    assert await kept.is_reachable(engine('e0')) is reached
     assert bool(kept.idle) is reached
