--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.exchange import ResponseHead
-from hitchdeck_edge.dispatch.relay import Relay
+from hitchdeck_edge.dispatch.relay import StreamRelay
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.books import Ticket
@@ -68,7 +68,7 @@
     passage: Passage
     caller: CallerConnection
     response: FinalResponse
-    relay: Relay
+    relay: StreamRelay
     unreached_count: int = 0
     last_attempt: Attempt | None = None
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -10,7 +10,7 @@
 from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.attempts import ActiveRequest, Attempt, AttemptOutcome
 from hitchdeck_edge.dispatch.budget import RetryBudget
-from hitchdeck_edge.dispatch.relay import Relay
+from hitchdeck_edge.dispatch.relay import StreamRelay
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.model.passage import Passage
@@ -19,10 +19,10 @@
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.caller import CallerConnection
 
-UNREACHED_MOST = 4
+MAX_UNREACHED = 4
 """Upstreams that may be out of reach in a row before a request is refused."""
 
-NOBODY_TAKES_IT = frozenset((Refusal.no_upstream, Refusal.no_attempt_left))
+NO_UPSTREAM_ACCEPTS = frozenset((Refusal.no_upstream, Refusal.no_attempt_left))
 """Refusals for which another try makes sense only when some upstream takes it."""
 
 
@@ -47,7 +47,7 @@
         """Return the service of a request, which is counted from now on."""
         response = FinalResponse(self.dialect, passage, caller)
         self.budget.count_request(passage.pool.name)
-        return ActiveRequest(passage, caller, response, Relay(passage, caller))
+        return ActiveRequest(passage, caller, response, StreamRelay(passage, caller))
 
     async def serve(self, active: ActiveRequest) -> None:
         """Answer a request, finally, before its time is over.
@@ -61,7 +61,7 @@
             async with asyncio.timeout(active.passage.ends - self.now()):
                 await self._serve(active)
         except TimeoutError:
-            self._doubt(active)
+            self._check_last_ended(active)
             active.response.time_out()
 
     async def _serve(self, active: ActiveRequest) -> None:
@@ -69,20 +69,20 @@
         while True:
             choice = await self._choose(passage)
             if isinstance(choice, Refusal):
-                await self._give_up(active, choice)
+                await self._fail(active, choice)
                 return
             passage.tried.add(choice.upstream.name)
             if not await self.sender.send(active, choice):
-                if active.unreached_count < UNREACHED_MOST:
+                if active.unreached_count < MAX_UNREACHED:
                     continue
-                await self._give_up(active, Refusal.no_upstream)
+                await self._fail(active, Refusal.no_upstream)
                 return
             assert active.last_attempt is not None
             if active.last_attempt.outcome is AttemptOutcome.answered:
                 await self._deliver(active, active.last_attempt)
                 return
-            if not self._may_repeat(active):
-                await self._give_up(active, Refusal.no_attempt_left)
+            if not self._may_retry(active):
+                await self._fail(active, Refusal.no_attempt_left)
                 return
 
     async def _choose(self, passage: Passage) -> Choice | Refusal:
@@ -100,13 +100,13 @@
             raise TimeoutError
         return choice
 
-    def _doubt(self, active: ActiveRequest) -> None:
+    def _check_last_ended(self, active: ActiveRequest) -> None:
         """Ask whether the upstream has ended that still had a request at its end."""
         last_attempt = active.last_attempt
         if last_attempt is not None and last_attempt.outcome is AttemptOutcome.broken:
-            self.sender.doubt(active, last_attempt)
+            self.sender.check_ended(active, last_attempt)
 
-    def _may_repeat(self, active: ActiveRequest) -> bool:
+    def _may_retry(self, active: ActiveRequest) -> bool:
         passage = active.passage
         if passage.sent >= passage.route.attempts:
             return False
@@ -123,7 +123,7 @@
         assert attempt.head is not None
         await active.response.forward(attempt.head, attempt.body)
 
-    async def _give_up(self, active: ActiveRequest, refusal: Refusal) -> None:
+    async def _fail(self, active: ActiveRequest, refusal: Refusal) -> None:
         """End with the upstream's own word if it has one, else with ours."""
         last_attempt = active.last_attempt
         failed = (
@@ -135,7 +135,7 @@
             return
         # Callers came back after 0.1 s to a box with nothing for them for longer.
         pause = self.chooser.pause_left(active.passage.pool.name)
-        if pause and refusal in NOBODY_TAKES_IT:
+        if pause and refusal in NO_UPSTREAM_ACCEPTS:
             active.response.fail(Refusal.paused, pause)
             return
         active.response.fail(refusal)
--- a/packages/edge/src/hitchdeck_edge/dispatch/events.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/events.py
@@ -20,15 +20,15 @@
 
     def __init__(self, last_id: str = '') -> None:
         self.last_id = last_id
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, data: bytes) -> bytes:
         """Add bytes; return the whole events that are there now."""
-        gathered = self.rest + data
+        gathered = self.remainder + data
         end = 0
         for blank in _BLANK_LINE.finditer(gathered):
             end = blank.end()
-        self.rest = gathered[end:]
+        self.remainder = gathered[end:]
         whole = gathered[:end]
         ids = _ID_LINE.findall(whole)
         if ids:
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -9,7 +9,7 @@
 from hitchdeck_edge.serving.caller import CallerConnection
 
 
-class Relay:
+class StreamRelay:
     """One caller's stream, over as many upstreams as it takes.
 
     The head is that of the first upstream; a later one goes on after the
@@ -34,20 +34,20 @@
         BrokenAnswerError
             The upstream broke off; what it left half is dropped.
         """
-        self.splitter.rest = b''
+        self.splitter.remainder = b''
         if not self.caller.started:
             reason = head.reason.decode('latin-1')
             await self.caller.start_response(
                 head.status, reason, response_headers(head.headers)
             )
-        while piece := await connection.read_data():
-            whole = self.splitter.feed(piece)
+        while chunk := await connection.read_data():
+            whole = self.splitter.feed(chunk)
             if whole:
                 on_event()
                 await self._write(connection, whole)
                 self.passage.last_event = self.splitter.last_id
-        if self.splitter.rest:
-            await self._write(connection, self.splitter.rest)
+        if self.splitter.remainder:
+            await self._write(connection, self.splitter.remainder)
         self.caller.finish()
 
     async def _write(self, connection: Connection, data: bytes) -> None:
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -32,7 +32,7 @@
 from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.scheduling.chooser import Chooser
 
-STALE_ANSWERS = 2
+MAX_STALE_RESPONSES = 2
 """Answers to earlier requests that are skipped on one connection."""
 
 
@@ -51,7 +51,7 @@
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
-        self.endings = Endings(quarantine, self._note_crash)
+        self.endings = Endings(quarantine, self._avoid_crashed)
         self.backpressure = chooser.backpressure
         self.domain = chooser.domain
         self.connections = connections
@@ -70,8 +70,8 @@
             if active.caller.has_disconnected():
                 self.connections.return_unused(choice.upstream.name, connection)
                 raise CallerDisconnectedError('closed before the request was sent')
-            self._check_wanted(choice, connection)
-            self._send_on(active, attempt, connection)
+            self._check_accepting(choice, connection)
+            self._send_request(active, attempt, connection)
             await self._receive(active, attempt, connection)
         except UpstreamNotAcceptingError as error:
             logs.info(
@@ -83,16 +83,16 @@
             return False
         except NotSentError as error:
             active.unreached_count += 1
-            self._note_unreached(passage, choice, error)
+            self._record_unreached(passage, choice, error)
             return False
         except IncompleteResponseError as error:
             attempt.reason = str(error)
         finally:
             self._close_attempt(attempt, connection)
-        self._judge(active, attempt)
+        self._record_outcome(active, attempt)
         return True
 
-    def doubt(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def check_ended(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.endings.note(
@@ -101,7 +101,7 @@
             partial(self.connections.is_reachable, upstream),
         )
 
-    def leave(self, record: Upstream, newer: Upstream) -> None:
+    def replace(self, record: Upstream, newer: Upstream) -> None:
         """Await nothing of a life that another one has replaced.
 
         Where the address stayed the same, the new life's kernel resets what the
@@ -114,7 +114,7 @@
         self.endings.confirm(record.life)
         self.backpressure.pass_on(record.name, newer.name)
 
-    def _note_crash(self, life: LifeId) -> None:
+    def _avoid_crashed(self, life: LifeId) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
         self.placement.health.crash(UpstreamName(life))
 
@@ -135,7 +135,7 @@
         if connection.busy:
             connection.abort()
 
-    def _check_wanted(self, choice: Choice, connection: Connection) -> None:
+    def _check_accepting(self, choice: Choice, connection: Connection) -> None:
         """Raise ``UpstreamNotAcceptingError`` if an upstream wants nothing any more.
 
         It may have said so while the request waited for the scheduler's answer
@@ -149,7 +149,7 @@
             self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(f'{name} may get no new work')
 
-    def _send_on(
+    def _send_request(
         self,
         active: ActiveRequest,
         attempt: Attempt,
@@ -157,7 +157,7 @@
     ) -> None:
         self.connections.mark_busy(attempt.upstream, connection)
         connection.send(self._upstream_request(active.passage, attempt.choice))
-        self._note_sent(active, attempt)
+        self._record_sent(active, attempt)
 
     def _upstream_request(self, passage: Passage, choice: Choice) -> UpstreamRequest:
         forwarding = Forwarding(
@@ -175,7 +175,7 @@
             passage.body,
         )
 
-    def _note_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def _record_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
         passage = active.passage
         passage.sent += 1
         passage.may_have_run = True
@@ -190,7 +190,7 @@
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._own_head(active.passage, attempt, connection)
+        head = await self._read_matching_head(active.passage, attempt, connection)
         attempt.head = head
         mark = self.dialect.read_answer(head.status, head.headers)
         attempt.pause = mark.pause
@@ -220,19 +220,19 @@
         def on_event() -> None:
             if attempt.ticket.reading:
                 attempt.first_event = self.now() - attempt.started_at
-                self._note_start(active.passage, attempt)
+                self._record_first_event(active.passage, attempt)
 
         attempt.streamed = True
         await active.relay.forward(connection, head, on_event)
         attempt.outcome = AttemptOutcome.answered
 
-    def _note_start(self, passage: Passage, attempt: Attempt) -> None:
+    def _record_first_event(self, passage: Passage, attempt: Attempt) -> None:
         attempt.ticket.start()
         self.link.start(attempt.number)
         if busy_part() <= SHORT_OF_TIME:
             self.placement.measure(attempt.ticket, passage.wanted(self.domain))
 
-    async def _own_head(
+    async def _read_matching_head(
         self,
         passage: Passage,
         attempt: Attempt,
@@ -242,10 +242,10 @@
 
         An answer to an earlier one may come late on a kept connection.
         """
-        for _ in range(STALE_ANSWERS):
+        for _ in range(MAX_STALE_RESPONSES):
             head = await connection.read_head()
             mark = self.dialect.read_answer(head.status, head.headers)
-            self._heed(attempt.upstream, mark)
+            self._apply_backpressure(attempt.upstream, mark)
             if mark.request in {'', passage.call.request}:
                 return head
             await connection.read_body()
@@ -258,7 +258,7 @@
                 break
         raise IncompleteResponseError('only answers to other requests came')
 
-    def _heed(self, name: UpstreamName, mark: AnswerMark) -> None:
+    def _apply_backpressure(self, name: UpstreamName, mark: AnswerMark) -> None:
         """Keep to what an upstream asks for in an answer, to whichever request."""
         # 438 requests went to upstreams that had asked this box for a pause,
         # within five seconds of load.
@@ -267,7 +267,7 @@
         if mark.leaving:
             self.backpressure.leave(name)
 
-    def _judge(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def _record_outcome(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
         if attempt.outcome in {AttemptOutcome.answered, AttemptOutcome.failed}:
@@ -278,7 +278,7 @@
         if attempt.outcome is AttemptOutcome.broken:
             health.fail(attempt.upstream, attempt.reason)
             self.link.fail(attempt.upstream)
-            self.doubt(active, attempt)
+            self.check_ended(active, attempt)
         else:
             health.err(attempt.upstream)
         if attempt.outcome is AttemptOutcome.not_run:
@@ -297,7 +297,7 @@
             decided_by=active.passage.decided_by,
         )
 
-    def _note_unreached(
+    def _record_unreached(
         self,
         passage: Passage,
         choice: Choice,
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -106,7 +106,7 @@
         for name in registry.gone():
             sender.connections.close_idle(name)
         for record, newer in registry.replaced():
-            sender.leave(record, newer)
+            sender.replace(record, newer)
         sender.backpressure.keep(registry.names())
         self.admission.metrics.unwilling_upstreams = len(sender.backpressure.closed())
         self.admission.metrics.upstream_changes = registry.changes
