--- a/packages/daemon/src/hitchdeck_daemon/platform_hub.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_hub.py
@@ -6,7 +6,7 @@
 from hitchdeck_daemon.on_platform import Role, run_role
 from hitchdeck_edge.hub.process import start_hub
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import open_doors
+from hitchdeck_platform.doors import start_servers
 from hitchdeck_platform.settings import PlatformSettings
 
 STOP_SECONDS = 0.5
@@ -18,7 +18,7 @@
     if settings.hub is None:
         raise SettingsError('these settings ask for no hub')
     hub = await start_hub(settings.hub, read_document)
-    doors = open_doors(hub)
+    doors = start_servers(hub)
 
     async def stop() -> None:
         await asyncio.sleep(STOP_SECONDS)
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.process import EntryBox, start_entry
 from hitchdeck_edge.settings import EntrySettings, HubSettings
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import open_doors
+from hitchdeck_platform.doors import start_servers
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_worker import Worker
 from standins.ports import free_address
@@ -133,7 +133,7 @@
         """Start one hub with its doors."""
         hub = await start_hub(settings, read_document)
         self.hubs.append(hub)
-        self.doors[settings.box] = open_doors(hub)
+        self.doors[settings.box] = start_servers(hub)
         return hub
 
     async def kill_hub(self, hub: Hub) -> None:
--- a/tests/fuzz/test_foreign_entries_fuzz.py
+++ b/tests/fuzz/test_foreign_entries_fuzz.py
@@ -19,7 +19,7 @@
 from hitchdeck_edge.links.records import decode_upstreams, encode_upstream
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.state.registry import Registry
-from hitchdeck_platform.documents import UNREADABLE
+from hitchdeck_platform.documents import DECODE_ERRORS
 from hitchdeck_platform.doors import decode_departure, decode_upstream
 from tests.common.scheduling import FakeClock
 
@@ -53,7 +53,7 @@
     """Return why an entry is refused, blank if it is taken."""
     try:
         decode_upstream('e0', body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         return str(error)
     return ''
 
@@ -91,7 +91,7 @@
 def test_a_departure_that_cannot_be_read_is_refused_as_such(body: bytes) -> None:
     try:
         born = decode_departure(body)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return
     assert born >= 0
 
@@ -115,7 +115,7 @@
     registry.merge(decode_upstream('e0', SOUND), 'test')
     for body in bodies:
         read = json.loads(json.dumps(body, default=str))
-        with contextlib.suppress(*UNREADABLE):
+        with contextlib.suppress(*DECODE_ERRORS):
             registry.merge(decode_upstream('other', read), 'test')
     kept = registry.serving(PoolName('llm'))
     assert [one.phase for one in kept] == [Phase.serving]
