--- a/packages/daemon/src/hitchdeck_daemon/platform_entry.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_entry.py
@@ -17,7 +17,7 @@
         await box.drain()
         await box.stop()
 
-    return Role(box.book, box.supervisor, stop)
+    return Role(box.known_hubs, box.supervisor, stop)
 
 
 if __name__ == '__main__':
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -37,7 +37,7 @@
     ``number`` is the scheduler's for it; ``streamed`` says that the caller got
     the answer as it came; ``may_have_run_before`` that the request may have run before
     this attempt; ``first_event`` is how long the first event of a stream took,
-    in seconds; ``pause`` for how long the upstream wants nothing from this box,
+    in seconds; ``backoff`` for how long the upstream wants nothing from this box,
     and ``leaving`` whether it said that it leaves.
     """
 
@@ -52,7 +52,7 @@
     reason: str = ''
     streamed: bool = False
     first_event: float = 0.0
-    pause: float = 0.0
+    backoff: float = 0.0
     leaving: bool = False
 
     @property
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -61,7 +61,7 @@
             async with asyncio.timeout(active.passage.ends - self.now()):
                 await self._serve(active)
         except TimeoutError:
-            self._check_last_ended(active)
+            self._check_last_for_crash(active)
             active.response.time_out()
 
     async def _serve(self, active: ActiveRequest) -> None:
@@ -100,11 +100,11 @@
             raise TimeoutError
         return choice
 
-    def _check_last_ended(self, active: ActiveRequest) -> None:
+    def _check_last_for_crash(self, active: ActiveRequest) -> None:
         """Ask whether the upstream has ended that still had a request at its end."""
         last_attempt = active.last_attempt
         if last_attempt is not None and last_attempt.outcome is AttemptOutcome.broken:
-            self.sender.check_ended(active, last_attempt)
+            self.sender.check_for_crash(active, last_attempt)
 
     def _may_retry(self, active: ActiveRequest) -> bool:
         passage = active.passage
@@ -134,8 +134,8 @@
             await self._deliver(active, last_attempt)
             return
         # Callers came back after 0.1 s to a box with nothing for them for longer.
-        pause = self.chooser.pause_left(active.passage.pool.name)
-        if pause and refusal in NO_UPSTREAM_ACCEPTS:
-            active.response.fail(Refusal.paused, pause)
+        backoff = self.chooser.pause_left(active.passage.pool.name)
+        if backoff and refusal in NO_UPSTREAM_ACCEPTS:
+            active.response.fail(Refusal.paused, backoff)
             return
         active.response.fail(refusal)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -92,7 +92,7 @@
         self._record_outcome(active, attempt)
         return True
 
-    def check_ended(self, active: ActiveRequest, attempt: Attempt) -> None:
+    def check_for_crash(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.endings.note(
@@ -193,7 +193,7 @@
         head = await self._read_matching_head(active.passage, attempt, connection)
         attempt.head = head
         mark = self.dialect.read_answer(head.status, head.headers)
-        attempt.pause = mark.pause
+        attempt.backoff = mark.pause
         attempt.leaving = mark.leaving
         if mark.other_life:
             self.placement.health.misplace(attempt.upstream)
@@ -278,7 +278,7 @@
         if attempt.outcome is AttemptOutcome.broken:
             health.fail(attempt.upstream, attempt.reason)
             self.link.fail(attempt.upstream)
-            self.check_ended(active, attempt)
+            self.check_for_crash(active, attempt)
         else:
             health.err(attempt.upstream)
         if attempt.outcome is AttemptOutcome.not_run:
@@ -292,7 +292,7 @@
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
             attempt=active.passage.sent,
-            pause=attempt.pause,
+            pause=attempt.backoff,
             leaving=attempt.leaving,
             decided_by=active.passage.decided_by,
         )
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -48,7 +48,7 @@
 
     settings: EntrySettings
     link: EntryLink
-    book: HubBook
+    known_hubs: HubBook
     admission: Admission
     caller_server: CallerServer
     graceful_stop: GracefulStop
@@ -117,15 +117,15 @@
     """Start an entry box that speaks a platform's dialect."""
     knowledge = new_knowledge(settings, dialect)
     seeds = map(Address, settings.seeds)
-    book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, dialect, knowledge, book)
+    known_hubs = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    dispatcher = _dispatcher(settings, dialect, knowledge, known_hubs)
     graceful_stop = GracefulStop(settings.stop_grace, boot_seconds)
     admission = Admission(dialect, knowledge, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
         link=EntryLink(settings, knowledge, dispatcher.budget, targets),
-        book=book,
+        known_hubs=known_hubs,
         admission=admission,
         caller_server=CallerServer(
             admission.start_serving,
@@ -145,7 +145,7 @@
     settings: EntrySettings,
     dialect: Dialect,
     knowledge: Knowledge,
-    book: HubBook,
+    known_hubs: HubBook,
 ) -> Dispatcher:
     budget = RetryBudget(
         settings.retry_share,
@@ -155,7 +155,7 @@
     )
     link = PlacingLink(
         settings.box,
-        book,
+        known_hubs,
         knowledge.registry,
         settings.fleet_token,
         knowledge.scheduler.shares,
@@ -181,8 +181,8 @@
     if settings.metrics_listen is not None:
         figures = metrics_page(box.admission.metrics.render)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
-    attendance = box.link.attendance(box.book)
-    attendant = Attendant(box.book, attendance, settings.fleet_token)
+    attendance = box.link.attendance(box.known_hubs)
+    attendant = Attendant(box.known_hubs, attendance, settings.fleet_token)
     box.supervisor.permanent('hubs', attendant.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -332,7 +332,7 @@
         known = box.link.known
         names = sorted(known.registry.names())
         told.append(
-            f'{box.settings.box}: hubs {sorted(box.book.live)}, '
+            f'{box.settings.box}: hubs {sorted(box.known_hubs.live)}, '
             f'document {known.documents.version}, upstreams {names}',
         )
     return '; '.join(told)
