--- a/bench/settling.py
+++ b/bench/settling.py
@@ -19,7 +19,7 @@
 from hitchdeck_edge.links.records import decode_upstreams, encode_upstream
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.state.registry import Registry
-from hitchdeck_platform.doors import decode_upstream
+from hitchdeck_platform.hub_api import decode_upstream
 
 PERIOD = 1.2
 POOL = PoolName('llm')
--- a/packages/daemon/src/hitchdeck_daemon/platform_hub.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_hub.py
@@ -6,7 +6,7 @@
 from hitchdeck_daemon.on_platform import Role, run_role
 from hitchdeck_edge.hub.process import start_hub
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import start_servers
+from hitchdeck_platform.hub_api import start_servers
 from hitchdeck_platform.settings import PlatformSettings
 
 STOP_SECONDS = 0.5
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -5,9 +5,9 @@
 from http import HTTPStatus
 
 from hitchdeck_core.ids import UpstreamName
-from hitchdeck_edge.dispatch.answers import FinalResponse
-from hitchdeck_edge.dispatch.exchange import ResponseHead
 from hitchdeck_edge.dispatch.relay import StreamRelay
+from hitchdeck_edge.dispatch.responses import FinalResponse
+from hitchdeck_edge.dispatch.upstream_connection import ResponseHead
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.books import Ticket
--- a/packages/edge/src/hitchdeck_edge/dispatch/connections.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/connections.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.quarantine.probing import UntilClosed, stays_reachable
-from hitchdeck_edge.dispatch.exchange import Connection, connect
+from hitchdeck_edge.dispatch.upstream_connection import Connection, connect
 from hitchdeck_edge.errors import NotSentError
 from hitchdeck_edge.model.calls import Header
 from hitchdeck_edge.model.upstreams import Upstream
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -7,10 +7,10 @@
 import asyncio
 
 from hitchdeck_core.clock import Clock
-from hitchdeck_edge.dispatch.answers import FinalResponse
 from hitchdeck_edge.dispatch.attempts import ActiveRequest, Attempt, AttemptOutcome
 from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.relay import StreamRelay
+from hitchdeck_edge.dispatch.responses import FinalResponse
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.model.passage import Passage
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from hitchdeck_edge.dispatch.answers import response_headers
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.dispatch.exchange import Connection, ResponseHead
+from hitchdeck_edge.dispatch.responses import response_headers
+from hitchdeck_edge.dispatch.upstream_connection import Connection, ResponseHead
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.serving.caller import CallerConnection
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -16,7 +16,11 @@
     outcome_of,
 )
 from hitchdeck_edge.dispatch.connections import ConnectionPool
-from hitchdeck_edge.dispatch.exchange import Connection, ResponseHead, UpstreamRequest
+from hitchdeck_edge.dispatch.upstream_connection import (
+    Connection,
+    ResponseHead,
+    UpstreamRequest,
+)
 from hitchdeck_edge.errors import (
     CallerDisconnectedError,
     IncompleteResponseError,
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -23,10 +23,10 @@
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
-from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
-from hitchdeck_edge.serving.front import CallerServer
+from hitchdeck_edge.serving.caller_server import CallerServer
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
 from hitchdeck_edge.serving.handoff import Handoff
-from hitchdeck_edge.serving.stopping import GracefulStop
+from hitchdeck_edge.serving.status_pages import listen, metrics_page, ready_page
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.knowledge import Knowledge, new_knowledge
 from hitchdeck_edge.state.relief import ReliefTargets
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -7,9 +7,9 @@
 from hitchdeck_core.busyness import busy_part, loop_lag
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
-from hitchdeck_edge.dispatch.answers import send_refusal
 from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
+from hitchdeck_edge.dispatch.responses import send_refusal
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
 from hitchdeck_edge.model.calls import Call
 from hitchdeck_edge.model.dialect import Dialect
@@ -17,12 +17,12 @@
 from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import CallerConnection
-from hitchdeck_edge.serving.front import IncomingRequest
-from hitchdeck_edge.serving.gauges import EntryMetrics
+from hitchdeck_edge.serving.caller_server import IncomingRequest
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
+from hitchdeck_edge.serving.metrics import EntryMetrics
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
-from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_edge.state.knowledge import Knowledge
 
 CALLER_DISCONNECTED = 'caller gone'
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.process import EntryBox, start_entry
 from hitchdeck_edge.settings import EntrySettings, HubSettings
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import start_servers
+from hitchdeck_platform.hub_api import start_servers
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_worker import Worker
 from standins.ports import free_address
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -20,7 +20,7 @@
 
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.ids import UpstreamName
-from hitchdeck_edge.dispatch.exchange import Connection
+from hitchdeck_edge.dispatch.upstream_connection import Connection
 from hitchdeck_edge.model.upstreams import Upstream
 from standins.platform_site import Site, running_site
 from standins.platform_worker import Fault, Worker
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -19,7 +19,7 @@
     Attendees,
 )
 from hitchdeck_edge.process import EntryBox
-from hitchdeck_edge.serving import front, handoff
+from hitchdeck_edge.serving import caller_server, handoff
 from hitchdeck_edge.serving.handoff import (
     GREETING,
     HANDOFF_FULL,
@@ -44,7 +44,7 @@
 @pytest.fixture
 async def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Site]:
     """Return a site whose first box hands every connection on, if it can."""
-    monkeypatch.setattr(front, 'should_hand_off', lambda _busy: True)
+    monkeypatch.setattr(caller_server, 'should_hand_off', lambda _busy: True)
     # Beside other work a box that runs may take longer to greet.
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', WAIT_SECONDS)
     async with running_site(tmp_path, hubs=1, boxes=2) as running:
--- a/tests/edge/test_lethal_requests.py
+++ b/tests/edge/test_lethal_requests.py
@@ -16,7 +16,7 @@
 from tornado.simple_httpclient import HTTPStreamClosedError
 
 from hitchdeck_edge.dispatch import connections
-from hitchdeck_edge.dispatch.exchange import Connection
+from hitchdeck_edge.dispatch.upstream_connection import Connection
 from hitchdeck_edge.errors import NotSentError
 from standins.platform_site import HOST, KEY, Site, running_site
 from tests.common.scheduling import engine
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -23,7 +23,7 @@
 from hitchdeck_edge.scheduling.books import Books
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.state.registry import GONE_KEPT_SECONDS, Registry
-from hitchdeck_platform.doors import decode_upstream
+from hitchdeck_platform.hub_api import decode_upstream
 from standins.platform_site import Site, running_site
 from standins.platform_worker import Fault, Worker
 from tests.common.scheduling import FakeClock, prompt
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -21,8 +21,8 @@
 from hitchdeck_edge.model.placing import Wanted
 from hitchdeck_edge.state.tallies import Tally
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import decode_upstream
 from hitchdeck_platform.errors import FieldError
+from hitchdeck_platform.hub_api import decode_upstream
 from hitchdeck_platform.requests import read_call
 from hitchdeck_platform.settings import decode_settings, read_settings
 
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -9,18 +9,18 @@
 from hitchdeck_core.errors import SettingsError
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.log_output import BURST_LINES, WAITING_BYTES, BoundedOutput
-from hitchdeck_edge.dispatch.answers import end_to_end_headers
 from hitchdeck_edge.dispatch.budget import SAFETY_FACTOR, RetryBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
+from hitchdeck_edge.dispatch.responses import end_to_end_headers
 from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.serving.gauges import (
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
+from hitchdeck_edge.serving.metrics import (
     DEFAULT_DURATION_SECONDS,
     MIN_OBSERVED_SECONDS,
     EntryMetrics,
 )
-from hitchdeck_edge.serving.stopping import GracefulStop
 from hitchdeck_platform.settings import read_settings
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
 
--- a/tests/edge/test_slow_loops.py
+++ b/tests/edge/test_slow_loops.py
@@ -8,7 +8,7 @@
 
 from hitchdeck_control.raft.delays import TURNS, OwnDelay
 from hitchdeck_core.ids import Address
-from hitchdeck_edge.dispatch import exchange
+from hitchdeck_edge.dispatch import upstream_connection
 from standins.platform_site import running_site
 from tests.common.scheduling import FakeClock
 
@@ -20,10 +20,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against sound upstreams that are ejected by a box without processor time.
-    monkeypatch.setattr(exchange, 'loop_lag', lambda: LAG_SECONDS)
+    monkeypatch.setattr(upstream_connection, 'loop_lag', lambda: LAG_SECONDS)
     server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
-    connecting = asyncio.create_task(exchange.connect(Address(f'{host}:{port}')))
+    connecting = asyncio.create_task(
+        upstream_connection.connect(Address(f'{host}:{port}'))
+    )
     await asyncio.sleep(0)
     time.sleep(HELD_UP_SECONDS)
     connection = await connecting
--- a/tests/fuzz/test_foreign_entries_fuzz.py
+++ b/tests/fuzz/test_foreign_entries_fuzz.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.state.registry import Registry
 from hitchdeck_platform.documents import DECODE_ERRORS
-from hitchdeck_platform.doors import decode_departure, decode_upstream
+from hitchdeck_platform.hub_api import decode_departure, decode_upstream
 from tests.common.scheduling import FakeClock
 
 SOUND = {
