--- a/packages/edge/src/hitchdeck_edge/serving/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Doors of the processes: callers, readiness, metrics."""
+"""HTTP servers of an entry box: callers, readiness, metrics."""
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -1,4 +1,4 @@
-"""What becomes of each request: refused at once, or served."""
+"""Admission: rejects a request at once, or has it dispatched to an upstream."""
 
 import asyncio
 import random
@@ -26,20 +26,21 @@
 from hitchdeck_edge.state.knowledge import Knowledge
 
 CALLER_DISCONNECTED = 'caller gone'
-"""Outcome of a request whose caller closed its connection first."""
+"""Outcome of a request whose caller disconnected before the response."""
 
 DOCUMENT_WAIT_SECONDS = 1.2
-"""How long a request waits for the first document at most.  Of 400 requests
-that reached boxes in their first 0.6 s, all were refused, most of them twice."""
+"""Maximum time for which a request waits for the first configuration document.
+Without the wait, all of 400 requests were refused that reached boxes in their first
+0.6 s, most of them twice."""
 
 DOCUMENT_WAIT_FRACTION = 0.2
-"""Part of the caller's time that such a wait may take."""
+"""Fraction of the caller's wait limit that this wait may use."""
 
 _NO_ID = RequestId('')
 
 
 class Admission:
-    """Decides on requests under the newest document."""
+    """Admits or rejects requests by the newest configuration document."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         )
 
     def start_serving(self, incoming: IncomingRequest) -> None:
-        """Start to serve a request that was read."""
+        """Start serving a request that was read in full."""
         arrived = self.now()
         caller = CallerConnection(incoming.connection)
         if not self._should_admit():
@@ -87,9 +88,9 @@
         return should_admit(busy_part(), loop_lag())
 
     def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
-        """Reject a request for which this box has no time, and spend none on it.
+        """Reject a request because this box is overloaded.
 
-        Its head is not decoded, and no task is made.
+        To keep this cheap, the head is not decoded and no task is created.
         """
         request = RequestId(incoming.headers.get(self.dialect.request_field, ''))
         try:
@@ -141,7 +142,7 @@
         try:
             return self.dialect.read_call(start.method, start.path, headers)
         except MalformedRequestError as error:
-            logs.info('request unreadable', reason=str(error))
+            logs.info('malformed request', reason=str(error))
             return None
 
     async def _dispatch(
@@ -162,14 +163,15 @@
         try:
             await self.dispatcher.serve(active)
         except (CallerDisconnectedError, asyncio.CancelledError):
-            # The task that serves this request is cancelled as its caller left.
+            # The task of a request is cancelled when its caller disconnects.
             active.response.outcome = CALLER_DISCONNECTED
         self._record_service(active)
 
     async def _wait_for_document(self, call: Call, arrived: float) -> None:
-        """Wait a little in a box that has just started, rather than refuse.
+        """Wait for the first document in a box that has just started.
 
-        Callers come back once or twice, and the document is there sooner.
+        Callers retry only once or twice, often before the document arrives, so
+        that rejecting at once would fail their requests.
         """
         patience = call.patience or DOCUMENT_WAIT_SECONDS
         until = arrived + min(DOCUMENT_WAIT_SECONDS, patience * DOCUMENT_WAIT_FRACTION)
@@ -257,16 +259,16 @@
 
 
 def _quarantine_fields(passage: Passage, outcome: str) -> dict[str, object]:
-    """Return what leads from a request that is kept away to the ends before it."""
+    """Return the fingerprint that links a quarantined request to earlier crashes."""
     if outcome != Refusal.quarantined.name:
         return {}
     return {'content': passage.content.hex()}
 
 
 def _size_fields(call: Call) -> dict[str, object]:
-    """Return what the log says of a generation.
+    """Return the log fields that describe the size of a generation.
 
-    A request that comes back after a refusal has another id, but the same
+    They match retries to the rejected request: a retry has another id, but the same
     size and the same last part of its prompt.
     """
     prompt = call.prompt
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -1,4 +1,4 @@
-"""A caller's connection while one request is served on it."""
+"""A caller's connection, for the duration of one request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -16,12 +16,12 @@
 
 
 class CallerConnection:
-    """Answers one request, whole or visibly broken.
+    """Sends the response to one request, complete or visibly truncated.
 
     Attributes
     ----------
     started
-        Whether the head of an answer was sent.
+        Whether the head of a response was sent.
     gone
         Whether the caller closed its connection.
     """
@@ -35,10 +35,10 @@
         connection.set_close_callback(self._record_disconnect)
 
     def has_disconnected(self) -> bool:
-        """Tell whether the caller has closed, by what its socket holds now.
+        """Tell whether the caller has closed its connection, by asking the socket.
 
-        A loop that is behind learns it too late: a request was sent 1.5 s after
-        its caller's close had come.  To ask takes 1 us (mean of 200,000).
+        An overloaded event loop is notified too late: a request was sent to an
+        upstream 1.5 s after its caller had closed.  Asking the socket takes 1 us.
         """
         stream = self.connection.stream
         return self.disconnected or stream.closed() or has_ended(stream.socket)
@@ -46,7 +46,7 @@
     async def start_response(
         self, status: int, reason: str, headers: ResponseHeaders
     ) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of a response whose body follows in chunks."""
         await self._send_head(status, reason, headers, b'')
 
     async def respond(
@@ -56,7 +56,7 @@
         headers: ResponseHeaders,
         body: bytes,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         await self._send_head(status, reason, _sized(headers, body), body)
         self.finish()
 
@@ -67,39 +67,46 @@
         headers: ResponseHeaders,
         body: bytes,
     ) -> None:
-        """Send a whole answer that is short, without waiting for it to go out.
+        """Send a short, complete response without waiting until it is written.
 
         Raises
         ------
-        CallerGoneError
-            The caller left before.
+        CallerDisconnectedError
+            The caller has disconnected.
         """
         if self.disconnected or self.connection.stream.closed():
-            raise CallerDisconnectedError('closed before the answer')
+            raise CallerDisconnectedError('caller disconnected before the response')
         self._write_head(status, reason, _sized(headers, body), body)
         self.finish()
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Send a piece of the body.
+        """Send a chunk of the body.
 
         Returns
         -------
         Awaitable or None
-            To be waited for if the caller does not take the bytes yet.
+            To be awaited if the caller does not read fast enough.
+
+        Raises
+        ------
+        CallerDisconnectedError
+            The caller has disconnected.
         """
         try:
             pending = self.connection.write(data)
         except StreamClosedError as error:
-            raise CallerDisconnectedError('closed while answered') from error
+            raise CallerDisconnectedError(
+                'caller disconnected during the response'
+            ) from error
         return pending if self.connection.stream.writing() else None
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
         if not self.disconnected:
             self.connection.finish()
 
     def abort(self) -> None:
-        """End the answer visibly incomplete: by closing the connection."""
+        """Truncate the response visibly, by closing the connection."""
         self.connection.stream.close()
 
     async def _send_head(
@@ -112,7 +119,9 @@
         try:
             await self._write_head(status, reason, headers, body)
         except StreamClosedError as error:
-            raise CallerDisconnectedError('closed before the answer') from error
+            raise CallerDisconnectedError(
+                'caller disconnected before the response'
+            ) from error
 
     def _write_head(
         self,
--- a/packages/edge/src/hitchdeck_edge/serving/caller_server.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller_server.py
@@ -1,4 +1,4 @@
-"""The server for callers: reads whole requests and has them served."""
+"""The HTTP server for callers: reads requests in full and has them served."""
 
 import socket
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 from hitchdeck_edge.serving.shedding import Shedder
 
 HEADER_BYTES = 65_536
-"""Largest head of a request: well above what callers may send by any
-document seen, so that none of theirs is refused."""
+"""Maximum size of a request's head: well above the limits of all configuration
+documents seen, so that no request within those is rejected."""
 
 BODY_BYTES = 16_777_216
-"""Largest body, for the same reason."""
+"""Maximum size of a request's body, for the same reason."""
 
 Serve = Callable[['IncomingRequest'], None]
 
@@ -35,7 +35,7 @@
 
 
 class IncomingRequest(HTTPMessageDelegate):
-    """One request while it is read."""
+    """Collects one request while it is read."""
 
     def __init__(self, connection: HTTP1Connection, serve: Serve) -> None:
         self.connection = connection
@@ -49,21 +49,21 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Take the head."""
+        """Store the head."""
         assert isinstance(start_line, RequestStartLine)
         self.start_line = start_line
         self.headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Store a chunk of the body."""
         self.chunks.append(chunk)
 
     def finish(self) -> None:
-        """Have the whole request served."""
+        """Have the complete request served."""
         self.serve(self)
 
     def on_connection_close(self) -> None:
-        """Forget a request whose caller left before its end."""
+        """Discard a request whose caller disconnected before it was complete."""
         self.chunks = []
 
     @property
@@ -73,7 +73,11 @@
 
 
 class CallerServer(HTTPServerConnectionDelegate):
-    """Accepts callers' connections."""
+    """Accepts connections of callers, and those that other boxes hand off.
+
+    A new connection is handed off, watched by the shedder, or served here, depending on
+    the load of this box.
+    """
 
     def __init__(
         self,
@@ -94,7 +98,7 @@
             max_header_size=HEADER_BYTES,
             max_body_size=BODY_BYTES,
         )
-        # A connection that another box relays ends with its answer.
+        # A connection that another box relays carries one request only.
         self.relief_server = HTTPServer(
             self,
             no_keep_alive=True,
@@ -107,27 +111,27 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Read the next request of a connection."""
+        """Return the delegate that reads the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         return IncomingRequest(request_conn, self.serve)
 
     def on_close(self, server_conn: object) -> None:
-        """Note the end of a connection; there is nothing to do."""
+        """Do nothing: the end of a connection needs no cleanup."""
 
     def listen(self, sock: socket.socket) -> None:
         """Accept connections on a listening socket."""
         self.listeners.append((sock, add_accept_handler(sock, self._accept)))
 
     def listen_for_relief(self, sock: socket.socket) -> None:
-        """Accept connections that other boxes hand on."""
+        """Accept connections that other boxes hand off."""
         self.listeners.append((sock, add_accept_handler(sock, self._accept_relief)))
 
     def close_after_answers(self) -> None:
-        """Have each further answer say that its connection ends with it."""
+        """Close each connection after its next response."""
         self.server.conn_params.no_keep_alive = True
 
     def stop(self) -> None:
-        """Accept no more connections; the open ones go on."""
+        """Accept no more connections; open HTTP connections continue."""
         for sock, stop_accepting in self.listeners:
             stop_accepting()
             sock.close()
@@ -146,7 +150,9 @@
         try:
             connection.send(GREETING)
         except OSError as error:
-            logs.info('box left before it was greeted', reason=repr(error))
+            logs.info(
+                'relaying box disconnected before the greeting', reason=repr(error)
+            )
             connection.close()
             return
         self._serve_connection(connection, self.relief_server)
--- a/packages/edge/src/hitchdeck_edge/serving/graceful_stop.py
+++ b/packages/edge/src/hitchdeck_edge/serving/graceful_stop.py
@@ -1,28 +1,34 @@
-"""A planned stop: what is still taken, and when the process may end."""
+"""Graceful stop: which requests are still admitted, and when the process may exit.
+
+Fractions refer to the grace period, and are counted from the start of the stop.
+"""
 
 from hitchdeck_core.clock import Clock
 
 ADMIT_FRACTION = 0.85
-"""A request is taken only if it surely ends within this part of the grace."""
+"""A request is admitted only if it is expected to complete by then."""
 
 DURATION_MARGIN = 1.2
-"""Margin on the longest request of a route so far."""
+"""Safety factor on the longest duration of a route's requests so far."""
 
 STREAM_FRACTION = 0.3
-"""Part of the grace after which no stream is taken, however short those of its
-route were: load may have grown since, and a stream that is cut is lost."""
+"""When streams cease to be admitted, however short those of their route were: load may
+have grown since, and a truncated stream is lost."""
 
 EXIT_FRACTION = 0.95
-"""Part of the grace after which the process ends whatever is open; what is
-left covers the way out of the process."""
+"""When the process exits even with requests in flight; the rest of the grace period
+covers the exit itself."""
 
 IDLE_EXIT_FRACTION = 0.5
-"""Part of the grace before which an idle process does not end: callers keep
-using addresses for some time."""
+"""When an idle process may exit; not earlier, since callers keep using cached addresses
+for some time."""
 
 
 class GracefulStop:
-    """The state of a planned stop; nothing is refused before one begins."""
+    """The state of a graceful stop.
+
+    Nothing is refused before the stop begins.
+    """
 
     def __init__(self, grace: float, now: Clock) -> None:
         self.grace = grace
@@ -30,18 +36,18 @@
         self.started_at: float | None = None
 
     def begin(self) -> None:
-        """Begin the stop."""
+        """Start the grace period."""
         self.started_at = self.now()
 
     def should_refuse(self, longest_seconds: float, *, streams: bool) -> bool:
-        """Tell whether a new request may last longer than this process.
+        """Tell whether a new request might not complete before this process exits.
 
         Parameters
         ----------
         longest_seconds
-            How long requests of its route take at the longest.
+            Longest expected duration of requests of its route.
         streams
-            Whether its answer is a stream.
+            Whether the response is a stream.
         """
         if self.started_at is None:
             return False
@@ -52,7 +58,7 @@
         return elapsed + longest / self.grace > ADMIT_FRACTION
 
     def may_exit(self, *, idle: bool) -> bool:
-        """Tell whether the process may end now."""
+        """Tell whether the process may exit now."""
         elapsed = self._elapsed_fraction()
         return elapsed > EXIT_FRACTION or (idle and elapsed > IDLE_EXIT_FRACTION)
 
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -1,13 +1,14 @@
-"""Handing new connections on to boxes that have time.
+"""Handing off new connections to boxes with spare processor time.
 
-Some callers stay with one box whatever the directory tells them.  A box that is short
-of processor time relays their connections, byte for byte, to boxes of its own failure
-domain: that costs it a fraction of serving the requests.  A connection that is handed
-on carries one request, so that it ends with its answer.
+Some callers keep to one box whatever addresses the directory returns.  An overloaded
+box relays their connections, byte for byte, to boxes of its own failure domain, which
+costs a fraction of serving the requests.  A connection that is handed off carries one
+request, so that it closes after the response.
 
-A kernel accepts connections for a process that stands still.  So the receiving box
-greets with one byte, and nothing is sent to it before; what is relayed to a box that
-has stopped to answer is broken off, so that callers do not wait for it.
+The kernel accepts connections even for a process that is suspended.  So the target box
+first sends one byte as a greeting, and nothing is sent to it before that.  If a target
+stops responding, the connections relayed to it are aborted, so that callers do not
+wait.
 """
 
 import asyncio
@@ -22,30 +23,31 @@
 from hitchdeck_edge.state.relief import ReliefTargets
 
 HANDOFF_START = 0.55
-"""Utilization from which connections are handed on, by chance."""
+"""Utilization above which connections are handed off at random."""
 
 HANDOFF_FULL = 0.8
-"""Utilization from which every connection is."""
+"""Utilization from which every connection is handed off."""
 
 CONNECT_SECONDS = 0.3
-"""Time to reach a box of the same domain."""
+"""Timeout for the connection to a target box and its greeting."""
 
 SILENCE_TIMEOUT_SECONDS = 1.2
-"""Time after a missing greeting in which a box that runs is heard of."""
+"""Time after a failed handoff within which a running target must send some bytes."""
 
 GREETING = b'+'
+"""Sent by the target box as soon as it accepts a relayed connection."""
 
 MAX_OPEN = 1000
-"""Connections that are relayed at once; each takes two descriptors."""
+"""Maximum size of ``Handoff.open``; a relayed connection takes two descriptors."""
 
 LOG_DELAY_SECONDS = 0.5
-"""Longest time from a connection that is handed on to its log line."""
+"""Maximum delay from a handoff to the log line that counts it."""
 
 ServeConnection = Callable[[socket.socket], None]
 
 
 def should_hand_off(utilization: float) -> bool:
-    """Tell whether a box with some utilization hands a new connection on."""
+    """Tell whether a box with this utilization hands off a new connection."""
     if utilization <= HANDOFF_START:
         return False
     return random.random() < (utilization - HANDOFF_START) / (
@@ -54,7 +56,7 @@
 
 
 class RelayEnd(asyncio.Protocol):
-    """One end of a relayed connection; what it receives goes out at the other."""
+    """One end of a relayed connection; forwards what it receives to its peer."""
 
     def __init__(
         self, on_received: Callable[[], None], on_closed: Callable[[], None]
@@ -65,28 +67,28 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward bytes to the peer."""
         self.on_received()
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.write(data)
 
     def pause_writing(self) -> None:
-        """Read no more at the other end until this one has taken what waits."""
+        """Stop reading at the peer while this end's write buffer is full."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read on at the other end."""
+        """Resume reading at the peer."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other end too; visibly broken where this one was reset."""
+        """Close the peer too, or abort it if this end was reset."""
         self.on_closed()
         peer = self.peer.transport if self.peer is not None else None
         if peer is None:
@@ -98,7 +100,7 @@
 
 
 class TargetEnd(RelayEnd):
-    """The end towards a box, which greets first."""
+    """The end towards the target box, which sends a greeting first."""
 
     def __init__(
         self,
@@ -111,12 +113,12 @@
         self.greeted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, and notice a box that has lost its power."""
+        """Store the transport, and enable keepalive to detect a lost host."""
         super().connection_made(transport)
         set_probes(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
-        """Take the greeting, then pass bytes on."""
+        """Consume the greeting, then forward bytes to the peer."""
         if self.greeted.done():
             super().data_received(data)
             return
@@ -124,23 +126,24 @@
         self.greeted.set_result(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other end too; no greeting comes any more."""
+        """Fail a pending wait for the greeting, and close the peer."""
         if not self.greeted.done():
             self.greeted.set_exception(exc or ConnectionAbortedError('no greeting'))
         super().connection_lost(exc)
 
 
 class Handoff:
-    """Relays connections to other boxes.
+    """Hands off connections to other boxes, and relays their bytes.
 
     Attributes
     ----------
     serve
-        Takes a connection that no other box could take, with nothing read from it.
+        Serves a connection here if the target box can't be reached; nothing was read
+        from it.
     open
-        Connections that are relayed.
+        Pending handoffs, and the ends of relayed connections.
     last_received
-        When bytes last came from each box.
+        When bytes were last received from each target box, in seconds.
     """
 
     def __init__(self, targets: ReliefTargets) -> None:
@@ -152,7 +155,7 @@
         self.unlogged = 0
 
     def try_relay(self, connection: socket.socket) -> bool:
-        """Relay a connection to another box, if there is one."""
+        """Relay a connection to another box; return ``False`` if there is none."""
         target = self.targets.choose()
         if target is None or len(self.open) >= MAX_OPEN:
             return False
@@ -163,7 +166,7 @@
         return True
 
     def close(self) -> None:
-        """Break off whatever is relayed."""
+        """Abort all relayed connections."""
         for one in list(self.open):
             if isinstance(one, asyncio.Task):
                 one.cancel()
@@ -187,7 +190,7 @@
         try:
             await loop.connect_accepted_socket(lambda: caller_end, connection)
         except OSError as error:
-            logs.info('caller left before it was handed on', reason=repr(error))
+            logs.info('caller disconnected before the handoff', reason=repr(error))
             self.open.discard(caller_end)
             _abort(target_end)
             return
@@ -201,7 +204,7 @@
         return target_end
 
     def _abandon_target(self, target_end: TargetEnd, error: Exception) -> None:
-        """Use a box no more for a while; find out whether it has stopped to answer."""
+        """Avoid a target box for a while; check later whether it has gone silent."""
         logs.info('box not reached', box_address=target_end.target, reason=repr(error))
         target_end.greeted.cancel()
         _abort(target_end)
@@ -215,7 +218,7 @@
         )
 
     def _abort_if_silent(self, target: Address, since: float) -> None:
-        """Break off what is relayed to a box that was not heard of since."""
+        """Abort the connections to a box from which nothing was received since."""
         if self.last_received.get(target, 0) >= since:
             return
         stuck = [
@@ -252,4 +255,4 @@
 
 
 def _ignore() -> None:
-    """Take no note of what a caller sends."""
+    """Ignore when a caller sends bytes: only the target box is watched."""
--- a/packages/edge/src/hitchdeck_edge/serving/metrics.py
+++ b/packages/edge/src/hitchdeck_edge/serving/metrics.py
@@ -10,31 +10,37 @@
 
 MS_PER_SECOND = 1000.0
 MAX_HISTOGRAMS = 60
-"""Most histograms kept: a few for each account and route in use."""
+"""Maximum number of histograms."""
 
 
 DURATION_DECAY = 0.997
-"""What each further request leaves of the longest duration: some hundreds of
-requests, a minute or more of a busy box, halve it."""
+"""Factor by which each request decays the longest duration.  231 requests halve it: a
+minute or more on a busy box."""
 
 DEFAULT_DURATION_SECONDS = 5.0
-"""Taken for the longest duration of a route of which too little is known."""
+"""Lower bound on the longest duration of a route that was observed too briefly."""
 
 MIN_OBSERVED_SECONDS = 10.0
-"""How long a route must be in use here before those that ended tell of the others:
-longer than a grace.  Two streams that a stopping box took by what had ended within a
-second outlasted its grace of 8 s."""
+"""How long a route must be in use before its completed requests are representative:
+longer than the grace period.  After one second only short requests have completed; two
+streams that a stopping box admitted on that basis outlasted its grace period of 8 s."""
 
 
 class EntryMetrics:
-    """What is served on the metrics address.
-
-    ``longest_turn`` is the longest time without a look at any socket, of late,
-    in seconds; ``placed_locally`` counts what this box placed by itself;
-    ``unwilling_upstreams`` is how many upstreams want nothing from it;
-    ``upstream_changes``
-    counts the changes of their records, ``handed_off`` the connections that another
-    box took.
+    """Values that are served on the metrics address.
+
+    Attributes
+    ----------
+    placed_locally
+        Requests that this box placed without a scheduler.
+    longest_turn
+        Longest recent turn of the event loop, in seconds.
+    unwilling_upstreams
+        Upstreams that accept no requests from this box at present.
+    upstream_changes
+        Changes of upstream records so far.
+    handed_off
+        Connections that were handed off to other boxes.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -51,7 +57,7 @@
         self.handed_off = 0
 
     def record_served(self, passage: Passage, outcome: str, seconds: float) -> None:
-        """Count a request that was dispatched."""
+        """Record a request that was dispatched."""
         self.record_duration(passage.route.name, seconds)
         self.outcomes[outcome] += 1
         account = passage.account or ''
@@ -61,7 +67,7 @@
         self.histograms.record('request_ms', (kind,), seconds * MS_PER_SECOND)
 
     def longest_seconds(self, route: RouteName) -> float:
-        """Return how long requests of a route took at the longest of late."""
+        """Return the longest recent duration of requests of a route, in seconds."""
         recent = self.durations.get(route, 0)
         observed_seconds = self.now() - self.first_opened.get(route, self.now())
         return (
@@ -71,20 +77,20 @@
         )
 
     def record_admitted(self, route: RouteName) -> None:
-        """Note a request that was taken."""
+        """Record that a request of a route was admitted."""
         self.first_opened.setdefault(route, self.now())
 
     def record_duration(self, route: RouteName, seconds: float) -> None:
-        """Note how long a request of a route took."""
+        """Record the duration of a request of a route."""
         longest = self.durations.get(route, 0) * DURATION_DECAY
         self.durations[route] = max(longest, seconds)
 
     def record_undispatched(self, outcome: str) -> None:
-        """Count a request that ended without being dispatched."""
+        """Record a request that ended without being dispatched."""
         self.outcomes[outcome] += 1
 
     def render(self) -> str:
-        """Return all figures in the Prometheus text form."""
+        """Return all metrics in the Prometheus text format."""
         lines = [
             f'hitchdeck_busy_percent {PERCENT * busy_part():.0f}',
             f'hitchdeck_longest_turn_ms {MS_PER_SECOND * self.longest_turn:.0f}',
--- a/packages/edge/src/hitchdeck_edge/serving/overload.py
+++ b/packages/edge/src/hitchdeck_edge/serving/overload.py
@@ -1,32 +1,30 @@
-"""When a box has no processor time left for another request.
+"""Load shedding when a box runs out of processor time.
 
-Requests that it takes all the same wait for each other: streams stall, answers
-that are there are not passed on, and callers leave before they are looked at.  A
-refusal takes a small part of what a request does, and other boxes have room.
+An overloaded box that admits every request makes all of them wait: streams stall,
+responses are not forwarded, and callers disconnect before their request is read.  A
+rejection costs a small fraction of serving a request, and other boxes have capacity.
 """
 
 import random
 
 CLOSE_UTILIZATION = 0.5
-"""Part of its time from which a box asks callers to leave with each answer.  A
-caller takes the connection that is free first, and that of a box that refuses at
-once always is: one of 24 boxes got a half of all requests in a flood, and turned
-away most of them."""
+"""Utilization above which each response closes its connection.  Callers prefer the
+connection that is free first, and that of a box that rejects at once always is: in a
+flood, one of 24 boxes received half of all requests and rejected most of them."""
 
 REJECT_UTILIZATION = 0.9
-"""Part of its time that a box may work and still take every request."""
-
+"""Utilization up to which a box admits every request."""
 
 REJECT_LAG_SECONDS = 0.1
-"""Lag of the event loop from which requests are rejected by chance: a request takes
+"""Lag of the event loop above which requests are rejected at random: a request takes
 several turns of the loop."""
 
 REJECT_ALL_LAG_SECONDS = 0.3
-"""Lag from which every request is rejected."""
+"""Lag of the event loop from which every request is rejected."""
 
 
 def should_close(utilization: float) -> bool:
-    """Tell whether callers are to open their next connection anywhere else."""
+    """Tell whether callers should open their next connection to another box."""
     return utilization > CLOSE_UTILIZATION
 
 
@@ -36,18 +34,18 @@
 
 
 def should_admit(utilization: float, lag: float = 0) -> bool:
-    """Tell whether a box takes another request.
+    """Tell whether a box admits another request.
 
     Parameters
     ----------
-    busy
-        Part of its time that the box works.
-        From ``REJECT_UTILIZATION`` on it takes requests
-        by chance, none at all without a pause, so that its load settles.
+    utilization
+        Fraction of its time that the box is busy.  Above ``REJECT_UTILIZATION``
+        requests are admitted with a probability that falls to 0 at full utilization, so
+        that the load settles below it.
     lag
-        How long an event waits for the event loop, in seconds.  What was admitted
-        before may take all of the box's time for a while: its utilization says nothing
-        of how much waits.
+        How long an event waits for the event loop, in seconds.  Utilization does not
+        show how much work is queued: requests admitted earlier may keep the box fully
+        busy.
     """
     if not is_overloaded(utilization, lag):
         return True
--- a/packages/edge/src/hitchdeck_edge/serving/rejections.py
+++ b/packages/edge/src/hitchdeck_edge/serving/rejections.py
@@ -1,4 +1,4 @@
-"""One log line for many requests that were rejected for lack of processor time."""
+"""Combined log lines for requests that were rejected because of overload."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 from hitchdeck_edge.model.refusals import Refusal
 
 MAX_IDS = 64
-"""Ids in one line."""
+"""Maximum number of ids in one line."""
 
 MAX_DELAY_SECONDS = 0.25
-"""Longest time from a rejection to its line."""
+"""Maximum delay from a rejection to its log line."""
 
 
 class RejectionLog:
-    """Ids of requests that were rejected since the last line."""
+    """Collects the ids of rejected requests until the next log line."""
 
     def __init__(self, now: Clock) -> None:
         self.now = now
--- a/packages/edge/src/hitchdeck_edge/serving/shedding.py
+++ b/packages/edge/src/hitchdeck_edge/serving/shedding.py
@@ -1,8 +1,8 @@
-"""Rejecting requests on new connections for next to no processor time.
+"""Rejecting requests on new connections at minimal processor cost.
 
-A box that is short of processor time would spend all of it on connections, streams and
-parsers for requests that it rejects.  Here a request is read from the plain socket, and
-only as far as it takes to know where it ends and which id the answer repeats.
+An overloaded box would spend all of its time on connections, streams and parsers for
+requests that it rejects.  The shedder reads a request from the plain socket, and parses
+only what it needs to find the end of the request and the id that the response echoes.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 from hitchdeck_edge.model.refusals import Refusal, Reply
 
 PEEK_BYTES = 16_384
-"""Longest head that is looked at; a longer one goes to the HTTP server."""
+"""Maximum size of a head that is parsed here; longer ones go to the HTTP server."""
 
 READ_BYTES = 65_536
-"""Bytes of a body that are read, and dropped, at once."""
+"""Bytes of a body that are read, and discarded, at once."""
 
 _RESPONSE_END = b'\r\n' + Refusal.no_time_here.value.why.encode()
 _HEAD_END = b'\r\n\r\n'
@@ -30,33 +30,32 @@
 _REQUEST_LINE = re.compile(rb'(?:GET|POST|PUT|PATCH|DELETE) [^ \r\n]+ HTTP/1\.1\r\n')
 
 ShouldAdmit = Callable[[], bool]
-"""Tells whether a request is to be served after all."""
+"""Tells whether to admit a request after all."""
 
 Serve = Callable[[socket.socket], None]
-"""Has a connection served from which nothing was read."""
+"""Serves a connection from which nothing was read."""
 
 OnRejected = Callable[[RequestId], None]
-"""Told the id of each request that was rejected."""
+"""Called with the id of each rejected request."""
 
 
 @dataclass(frozen=True, slots=True)
 class FramedRequest:
-    """Where a request on a connection ends, in bytes, and its id."""
+    """Size of a request on a connection, in bytes, and its id."""
 
     size: int
     id: bytes
 
 
 class Shedder:
-    """Rejects what comes on connections that were just accepted.
+    """Rejects requests on connections that were just accepted.
 
     Attributes
     ----------
     serve
-        Takes a connection whose request is admitted, or needs an HTTP parser.
+        Serves a connection whose request is admitted, or needs an HTTP parser.
     waiting
-        Connections on which no whole request has come yet, with the bytes of a
-        request that are still to be dropped.
+        Connections on which no complete request has arrived yet.
     """
 
     def __init__(
@@ -78,14 +77,14 @@
         loop.add_reader(connection, self._peek, connection)
 
     def close(self) -> None:
-        """Close the connections on which no request has come."""
+        """Close the connections on which no complete request has arrived."""
         for connection in list(self.waiting):
             self._close(connection)
 
     def parse(self, received: bytes) -> FramedRequest | None:
-        """Return the request that begins with some bytes.
+        """Return size and id of the request that begins with these bytes.
 
-        ``None`` if it takes an HTTP parser to tell where it ends.
+        Return ``None`` if finding its end takes an HTTP parser.
         """
         end = received.find(_HEAD_END)
         if end < 0 or not _REQUEST_LINE.match(received):
@@ -102,13 +101,13 @@
         return FramedRequest(end + len(_HEAD_END) + body, found[1] if found else b'')
 
     def _peek(self, connection: socket.socket) -> None:
-        """Look at what has come; leave it in the socket for the HTTP server."""
+        """Peek at what has arrived, so that the HTTP server can still read it."""
         try:
             received = connection.recv(PEEK_BYTES, socket.MSG_PEEK)
         except BlockingIOError:
             return
         except OSError:
-            # The caller has gone before it sent anything.
+            # The caller reset the connection before it sent anything.
             received = b''
         if not received:
             self._close(connection)
@@ -123,7 +122,7 @@
     def _discard(
         self, connection: socket.socket, request: FramedRequest, left: int
     ) -> None:
-        """Drop the bytes of a request, then reject it."""
+        """Read and discard a request, then reject it."""
         while left:
             try:
                 dropped = connection.recv(min(left, READ_BYTES))
@@ -132,7 +131,7 @@
                 loop.add_reader(connection, self._discard, connection, request, left)
                 return
             except OSError:
-                # A reset: nobody waits for an answer.
+                # The caller reset the connection and awaits no response.
                 dropped = b''
             if not dropped:
                 self._close(connection)
@@ -167,7 +166,7 @@
 
 
 def _rejection_head(reply: Reply) -> bytes:
-    """Return the head of a rejection, without the request's id and its end."""
+    """Return the head of a rejection, without the request's id and the final line."""
     status = HTTPStatus(reply.status)
     lines = (
         f'HTTP/1.1 {status.value} {status.phrase}',
--- a/packages/edge/src/hitchdeck_edge/serving/status_pages.py
+++ b/packages/edge/src/hitchdeck_edge/serving/status_pages.py
@@ -1,8 +1,8 @@
-"""HTTP servers of the kind that answer one question: readiness, and metrics.
+"""HTTP servers with a single page: readiness, and metrics.
 
-They are functions from a request to its answer, not applications of tornado's
-web framework: an entry box needs nothing else of it, and what it loads took 8
-of 307 ms (import times, least of three loads).
+The pages are plain functions, not applications of Tornado's web framework: an entry box
+uses nothing else of the framework, and importing it takes 8 of the 307 ms of all
+imports (least of three runs).
 """
 
 from collections.abc import Callable
@@ -21,13 +21,14 @@
 from hitchdeck_core.sockets import listening_socket
 
 Page = Callable[[HTTPServerRequest], None]
+"""Answers a request."""
 
 METRICS_TYPE = 'text/plain; version=0.0.4'
 _READING = frozenset(('GET', 'HEAD'))
 
 
 def ready_page(is_ready: Callable[[], bool]) -> Page:
-    """Return a page that says whether callers may be sent here."""
+    """Return a page with status 200 if this box is ready for callers, else 503."""
 
     def answer(request: HTTPServerRequest) -> None:
         ready = is_ready()
@@ -38,7 +39,7 @@
 
 
 def metrics_page(text: Callable[[], str]) -> Page:
-    """Return a page that serves counters and histograms as text."""
+    """Return a page that serves metrics as text."""
 
     def answer(request: HTTPServerRequest) -> None:
         _write(request, HTTPStatus.OK, text())
@@ -50,7 +51,7 @@
     page: Page | HTTPServerConnectionDelegate,
     address: Address,
 ) -> HTTPServer:
-    """Serve what handles requests, or an application, at an address."""
+    """Start an HTTP server for a page, or for a Tornado application, at an address."""
     host, port = split_address(address)
     server = HTTPServer(page)
     server.add_socket(listening_socket(host, port))
@@ -58,7 +59,7 @@
 
 
 def _write(request: HTTPServerRequest, status: HTTPStatus, text: str) -> None:
-    """Answer a request that reads; refuse any other."""
+    """Answer a GET or HEAD request; any other with 405."""
     if request.method not in _READING:
         status, text = HTTPStatus.METHOD_NOT_ALLOWED, ''
     body = text.encode()
