--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -38,6 +38,10 @@
     ----------
     number
         Number by which the scheduler tracks the attempt; 0 if it does not.
+    outcome
+        Outcome so far; ``broken`` until a complete response arrives.
+    reason
+        Why no complete response arrived, for the log.
     may_have_run_before
         Whether the request may have run before this attempt.
     streamed
--- a/packages/edge/src/hitchdeck_edge/dispatch/connections.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/connections.py
@@ -153,7 +153,7 @@
             try:
                 return await self._open(upstream)
             except NotSentError:
-                # The probe asks just this; the upstream may be unreachable.
+                # A refused connection is the answer to the probe, not a fault.
                 refused += 1
         return None
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -37,8 +37,8 @@
 from hitchdeck_edge.scheduling.chooser import Chooser
 
 MAX_STALE_RESPONSES = 2
-"""Responses that are read on a connection before it is given up: more than one only if
-the first is a late response to an earlier request."""
+"""Maximum number of response heads that are read for one request; late responses to
+earlier requests are skipped."""
 
 
 class Sender:
