--- a/bench/lab/play.py
+++ b/bench/lab/play.py
@@ -21,8 +21,8 @@
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 from hitchdeck_edge.model.document import Document, DocumentVersion, Limits, Pool
 from hitchdeck_edge.model.document import Engine as EngineLimits
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
@@ -52,7 +52,7 @@
         self,
         deployment: Deployment,
         seed: str,
-        mechanisms: Mechanisms = ALL,
+        mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.deployment = deployment
         self.mechanisms = mechanisms
@@ -132,7 +132,9 @@
         engine = self.engines[decision.upstream.name]
         if not engine.alive:
             self.scheduler.end(key)
-            self.scheduler.placement.health.fail(decision.upstream.name, 'dead')
+            self.scheduler.placement.health.record_failure(
+                decision.upstream.name, 'dead'
+            )
             self._place(one, tried | {decision.upstream.name})
             return
         run = self._run_of(one, key, decision)
@@ -155,7 +157,7 @@
 
         def on_lost() -> None:
             scheduler.end(key)
-            scheduler.placement.health.fail(choice.upstream.name, 'lost')
+            scheduler.placement.health.record_failure(choice.upstream.name, 'lost')
             one.outcome = 'failed'
 
         return Run(
@@ -174,9 +176,9 @@
             wait = min(retry_after, left / PATIENT_PART)
             self.timeline.after(wait, lambda: self._come(one))
 
-    def _wanted(self, one: Asked, tried: frozenset[UpstreamName]) -> Wanted:
+    def _wanted(self, one: Asked, tried: frozenset[UpstreamName]) -> PlacementQuery:
         parts = tuple(Part(PartId(part), tokens) for part, tokens in one.parts)
-        return Wanted(
+        return PlacementQuery(
             request=RequestId(''),
             pool=POOL,
             domain=DOMAIN,
--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.fleet.deltas import Deltas
+from hitchdeck_control.fleet.assignments import needed_assignments
+from hitchdeck_control.fleet.deltas import DeltaCache
 from hitchdeck_control.fleet.directory import DirectoryState
-from hitchdeck_control.fleet.duties import needed_moves
-from hitchdeck_control.fleet.presence import Presence, Routers
+from hitchdeck_control.fleet.presence import Presence, RouterTable
 from hitchdeck_control.fleet.usage import UsageTable
-from hitchdeck_control.machine.machine import Machine
-from hitchdeck_control.machine.state import Duty
+from hitchdeck_control.machine.state import ShardAssignment
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_control.raft.replica import Leadership, Replica
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock, boot_seconds, wall_seconds
@@ -20,8 +20,8 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.wire.hitchdeck_pb2 import ShardEntry
 
-_DUTY_PERIOD = 0.2
-_CLOCK_DRIFT = 1.05
+_ASSIGNMENT_PERIOD_SECONDS = 0.2
+_CLOCK_DRIFT_FACTOR = 1.05
 """Factor on lease waits for clocks that run at different rates."""
 
 
@@ -31,30 +31,30 @@
     def __init__(
         self,
         replica: Replica,
-        machine: Machine,
+        machine: StateMachine,
         lease_seconds: float,
         now: Clock = boot_seconds,
-        wall: Callable[[], float] = wall_seconds,
+        wall_clock: Callable[[], float] = wall_seconds,
     ) -> None:
         self.replica = replica
         self.machine = machine
-        self.deltas = Deltas(machine)
+        self.deltas = DeltaCache(machine)
         self.lease_seconds = lease_seconds
         self.now = now
-        self.wall = wall
-        self.seen: Leadership | None = None
-        self.routers = Routers(now, lease_seconds)
+        self.wall_clock = wall_clock
+        self.observed_leadership: Leadership | None = None
+        self.routers = RouterTable(now, lease_seconds)
         self.usage = UsageTable()
         self.directory = DirectoryState()
         # Kept from one leadership to the next: it binds whoever leads.
-        self.quarantine = Quarantine(now, machine.news)
+        self.quarantine = Quarantine(now, machine.version_changed)
 
     def check_leads(self) -> None:
         """Raise ``NotLeaderError`` unless this replica surely leads now."""
         self.replica.check_leads()
-        if self.replica.leadership is not self.seen:
-            self.seen = self.replica.leadership
-            self.routers = Routers(self.now, self.lease_seconds)
+        if self.replica.leadership is not self.observed_leadership:
+            self.observed_leadership = self.replica.leadership
+            self.routers = RouterTable(self.now, self.lease_seconds)
             self.usage = UsageTable()
             self.directory = DirectoryState()
 
@@ -79,7 +79,7 @@
             command=command,
             operator=operator,
             number=number,
-            taken_at=self.wall(),
+            taken_at=self.wall_clock(),
             digest=hashlib.sha256(encoded).hexdigest(),
         )
         outcome: Outcome = await self.replica.propose(
@@ -94,9 +94,9 @@
         lapsed an unnamed laggard is assumed.
         """
         self.check_leads()
-        assert self.seen is not None
-        known_since = self.now() - self.seen.started_at
-        if known_since < self.lease_seconds * _CLOCK_DRIFT:
+        assert self.observed_leadership is not None
+        known_since = self.now() - self.observed_leadership.started_at
+        if known_since < self.lease_seconds * _CLOCK_DRIFT_FACTOR:
             return ['(routers of the leader before)']
         return self.routers.laggards(version)
 
@@ -106,39 +106,45 @@
         by_incarnation = {one.hello.incarnation: one for one in alive}
         routers = {one.hello.incarnation: one.entry() for one in alive}
         shards = {
-            shard: _shard_entry(shard, duty, by_incarnation[duty.incarnation])
-            for shard, duty in self.machine.state.duties.items()
-            if duty.incarnation in by_incarnation
+            shard: _shard_entry(
+                shard, assignment, by_incarnation[assignment.incarnation]
+            )
+            for shard, assignment in self.machine.state.duties.items()
+            if assignment.incarnation in by_incarnation
         }
         known = self.directory
         if (routers, shards) != (known.routers, known.shards):
             self.directory = DirectoryState(known.number + 1, routers, shards)
-            self.machine.news.notify()
+            self.machine.version_changed.notify()
 
-    async def assign_duties(self) -> None:
+    async def assign_shards(self) -> None:
         """Give every shard a scheduler that is alive; for ever."""
         while True:
-            await self.routers.roster_changed.wait(_DUTY_PERIOD)
+            await self.routers.roster_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
             try:
                 self.check_leads()
-                for gone in self.routers.forget_lapsed():
-                    self.usage.end(gone)
+                for gone in self.routers.remove_expired():
+                    self.usage.retire(gone)
                 await self._assign_once()
                 self.refresh_directory()
             except (NotLeaderError, OutcomeUnknownError):
-                await self.replica.role_changed.wait(_DUTY_PERIOD)
+                await self.replica.role_changed.wait(_ASSIGNMENT_PERIOD_SECONDS)
 
     async def _assign_once(self) -> None:
-        for move in needed_moves(self.machine.state, self.routers.alive()):
-            await self.execute(move)
-            logs.info('shard assigned', shard=move.shard, router=move.router)
+        for assignment in needed_assignments(self.machine.state, self.routers.alive()):
+            await self.execute(assignment)
+            logs.info(
+                'shard assigned', shard=assignment.shard, router=assignment.router
+            )
 
 
-def _shard_entry(shard: ShardId, duty: Duty, holder: Presence) -> ShardEntry:
+def _shard_entry(
+    shard: ShardId, assignment: ShardAssignment, holder: Presence
+) -> ShardEntry:
     return ShardEntry(
         shard=shard,
-        router=duty.router,
-        incarnation=duty.incarnation,
-        epoch=duty.epoch,
+        router=assignment.router,
+        incarnation=assignment.incarnation,
+        epoch=assignment.epoch,
         wire_address=holder.hello.wire_address,
     )
--- a/packages/control/src/hitchdeck_control/service.py
+++ b/packages/control/src/hitchdeck_control/service.py
@@ -12,8 +12,8 @@
     OutcomeUnknownError,
 )
 from hitchdeck_control.fleet.leader import Leader
-from hitchdeck_control.fleet.watch import attend_router
-from hitchdeck_control.raft.membership import replace
+from hitchdeck_control.fleet.watch import serve_router
+from hitchdeck_control.raft.membership import replace_replica
 from hitchdeck_core.commands import Command, Put, command_codec, outcome_codec
 from hitchdeck_core.errors import ResourceError
 from hitchdeck_core.outcomes import Outcome, Refused
@@ -72,7 +72,7 @@
 
     async def Watch(self, stream: Stream[RouterBeat, ControlFrame]) -> None:
         """Serve one router's stream."""
-        await attend_router(self.leader, stream)
+        await serve_router(self.leader, stream)
 
     async def Replace(self, stream: Stream[ReplaceRequest, ReplaceReply]) -> None:
         """Put a replica with a new disk in the place of its box's old one."""
@@ -80,7 +80,7 @@
         assert request is not None
         try:
             self.leader.check_leads()
-            await replace(self.leader.replica, request.newcomer)
+            await replace_replica(self.leader.replica, request.newcomer)
         except NotLeaderError:
             await stream.send_message(ReplaceReply(leads=False))
         except (MembershipError, OutcomeUnknownError) as error:
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -8,9 +8,9 @@
 from hitchdeck_edge.dispatch.relay import StreamRelay
 from hitchdeck_edge.dispatch.responses import FinalResponse
 from hitchdeck_edge.dispatch.upstream_connection import ResponseHead
-from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.scheduling.books import Ticket
+from hitchdeck_edge.model.request_context import RequestContext
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 from hitchdeck_edge.serving.caller import CallerConnection
 
 
@@ -56,7 +56,7 @@
 
     choice: Choice
     started_at: float
-    ticket: Ticket
+    ticket: OpenWorkEntry
     number: int
     may_have_run_before: bool
     outcome: AttemptOutcome = AttemptOutcome.broken
@@ -81,7 +81,7 @@
     ``unreached_count`` is how many upstreams could not be reached.
     """
 
-    passage: Passage
+    context: RequestContext
     caller: CallerConnection
     response: FinalResponse
     relay: StreamRelay
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -12,10 +12,10 @@
 from hitchdeck_edge.dispatch.relay import StreamRelay
 from hitchdeck_edge.dispatch.responses import FinalResponse
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.caller import CallerConnection
 
@@ -31,23 +31,23 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         chooser: Chooser,
         sender: Sender,
         budget: RetryBudget,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.chooser = chooser
         self.sender = sender
         self.budget = budget
         self.now = now
 
-    def open(self, passage: Passage, caller: CallerConnection) -> ActiveRequest:
+    def open(self, context: RequestContext, caller: CallerConnection) -> ActiveRequest:
         """Return the state of a request to serve; count it for the retry budget."""
-        response = FinalResponse(self.dialect, passage, caller)
-        self.budget.count_request(passage.pool.name)
-        return ActiveRequest(passage, caller, response, StreamRelay(passage, caller))
+        response = FinalResponse(self.adapter, context, caller)
+        self.budget.count_request(context.pool.name)
+        return ActiveRequest(context, caller, response, StreamRelay(context, caller))
 
     async def serve(self, active: ActiveRequest) -> None:
         """Send the final response to a request before its deadline.
@@ -58,20 +58,20 @@
             The caller has disconnected, so there is no response.
         """
         try:
-            async with asyncio.timeout(active.passage.ends - self.now()):
+            async with asyncio.timeout(active.context.deadline - self.now()):
                 await self._serve(active)
         except TimeoutError:
             self._check_last_for_crash(active)
             active.response.time_out()
 
     async def _serve(self, active: ActiveRequest) -> None:
-        passage = active.passage
+        context = active.context
         while True:
-            choice = await self._choose(passage)
+            choice = await self._choose(context)
             if isinstance(choice, Refusal):
                 await self._fail(active, choice)
                 return
-            passage.tried.add(choice.upstream.name)
+            context.tried.add(choice.upstream.name)
             if not await self.sender.send(active, choice):
                 if active.unreached_count < MAX_UNREACHED:
                     continue
@@ -85,7 +85,7 @@
                 await self._fail(active, Refusal.no_attempt_left)
                 return
 
-    async def _choose(self, passage: Passage) -> Choice | Refusal:
+    async def _choose(self, context: RequestContext) -> Choice | Refusal:
         """Return an upstream for a request, or the reason to refuse it.
 
         The deadline is compared with the clock, since timers fire late on an
@@ -97,10 +97,10 @@
             The deadline has passed.
         """
         # Without this check, retries of one request crashed ten engines in a row.
-        if self.sender.quarantine.holds(passage.content):
+        if self.sender.quarantine.is_quarantined(context.fingerprint):
             return Refusal.quarantined
-        choice = await self.chooser.choose(passage)
-        if self.now() >= passage.ends:
+        choice = await self.chooser.choose(context)
+        if self.now() >= context.deadline:
             if isinstance(choice, Choice):
                 self.chooser.give_back(choice)
             raise TimeoutError
@@ -113,14 +113,14 @@
             self.sender.check_for_crash(active, last_attempt)
 
     def _may_retry(self, active: ActiveRequest) -> bool:
-        passage = active.passage
-        if passage.sent >= passage.route.attempts:
+        context = active.context
+        if context.sent >= context.route.attempts:
             return False
-        if passage.may_have_run and not passage.repeatable:
+        if context.may_have_run and not context.repeatable:
             return False
-        if active.caller.started and not passage.route.resumable:
+        if active.caller.started and not context.route.resumable:
             return False
-        return self.budget.try_spend(passage.pool.name)
+        return self.budget.try_spend(context.pool.name)
 
     async def _deliver(self, active: ActiveRequest, attempt: Attempt) -> None:
         if attempt.streamed:
@@ -141,7 +141,7 @@
             return
         # Without the actual backoff, callers retried after 0.1 s while every upstream
         # asked for a longer one.
-        backoff = self.chooser.pause_left(active.passage.pool.name)
+        backoff = self.chooser.backoff_left(active.context.pool.name)
         if backoff and refusal in NO_UPSTREAM_ACCEPTS:
             active.response.fail(Refusal.paused, backoff)
             return
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -5,7 +5,7 @@
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.dispatch.responses import response_headers
 from hitchdeck_edge.dispatch.upstream_connection import Connection, ResponseHead
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import CallerConnection
 
 
@@ -16,10 +16,10 @@
     last complete event that the caller received.
     """
 
-    def __init__(self, passage: Passage, caller: CallerConnection) -> None:
-        self.passage = passage
+    def __init__(self, context: RequestContext, caller: CallerConnection) -> None:
+        self.context = context
         self.caller = caller
-        self.splitter = EventSplitter(passage.last_event)
+        self.splitter = EventSplitter(context.last_event)
 
     async def forward(
         self,
@@ -45,7 +45,7 @@
             if whole:
                 on_event()
                 await self._write(connection, whole)
-                self.passage.last_event = self.splitter.last_id
+                self.context.last_event = self.splitter.last_id
         if self.splitter.remainder:
             await self._write(connection, self.splitter.remainder)
         self.caller.finish()
--- a/packages/edge/src/hitchdeck_edge/dispatch/responses.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/responses.py
@@ -6,10 +6,10 @@
 from hitchdeck_core.ids import RequestId
 from hitchdeck_core.retry_after import RETRY_AFTER
 from hitchdeck_edge.dispatch.upstream_connection import ResponseHead
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Header
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import CallerConnection, ResponseHeaders
 
 HOP_BY_HOP_HEADERS = frozenset(
@@ -51,7 +51,7 @@
 
 
 def send_refusal(
-    dialect: Dialect,
+    adapter: PlatformAdapter,
     request: RequestId,
     caller: CallerConnection,
     refusal: Refusal,
@@ -70,27 +70,32 @@
         The caller has disconnected.
     """
     reply = refusal.value
-    headers = request_id_headers(dialect, request)
+    headers = request_id_headers(adapter, request)
     seconds = retry_after or reply.retry_after
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
     reason = HTTPStatus(reply.status).phrase
-    caller.respond_without_waiting(reply.status, reason, headers, reply.why.encode())
+    caller.respond_without_waiting(reply.status, reason, headers, reply.text.encode())
 
 
-def request_id_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
+def request_id_headers(
+    adapter: PlatformAdapter, request: RequestId
+) -> list[tuple[str, str]]:
     """Return the header that echoes the request id, if the request has one."""
-    return [(dialect.request_field, request)] if request else []
+    return [(adapter.request_field, request)] if request else []
 
 
 class FinalResponse:
     """Sends the final response to a request, and records its outcome."""
 
     def __init__(
-        self, dialect: Dialect, passage: Passage, caller: CallerConnection
+        self,
+        adapter: PlatformAdapter,
+        context: RequestContext,
+        caller: CallerConnection,
     ) -> None:
-        self.dialect = dialect
-        self.passage = passage
+        self.adapter = adapter
+        self.context = context
         self.caller = caller
         self.outcome = 'open'
 
@@ -118,22 +123,22 @@
         self.outcome = refusal.name
         if self.caller.started:
             self.caller.abort()
-        elif self.passage.may_have_run:
+        elif self.context.may_have_run:
             self._respond_unknown(HTTPStatus.BAD_GATEWAY)
         else:
-            request = self.passage.call.request
-            send_refusal(self.dialect, request, self.caller, refusal, retry_after)
+            request = self.context.call.request
+            send_refusal(self.adapter, request, self.caller, refusal, retry_after)
 
     def time_out(self) -> None:
         """End a request whose deadline has passed."""
         self.outcome = Refusal.time_over.name
         if self.caller.started:
             self.caller.abort()
-        elif self.passage.may_have_run:
+        elif self.context.may_have_run:
             self._respond_unknown(HTTPStatus.GATEWAY_TIMEOUT)
         else:
             self.fail(Refusal.time_over)
 
     def _respond_unknown(self, status: HTTPStatus) -> None:
-        headers = request_id_headers(self.dialect, self.passage.call.request)
+        headers = request_id_headers(self.adapter, self.context.call.request)
         self.caller.respond_without_waiting(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -4,10 +4,10 @@
 from http import HTTPStatus
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
+from hitchdeck_core.loop_load import loop_utilization
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import (
     ActiveRequest,
@@ -27,14 +27,14 @@
     NotSentError,
     UpstreamNotAcceptingError,
 )
-from hitchdeck_edge.links.placing import SHORT_OF_TIME
-from hitchdeck_edge.model.calls import AnswerMark
-from hitchdeck_edge.model.dialect import Dialect, Forwarding
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.links.placing import OVERLOADED_UTILIZATION
+from hitchdeck_edge.model.adapter import Forwarding, PlatformAdapter
+from hitchdeck_edge.model.calls import ResponseMarks
 from hitchdeck_edge.model.placing import Choice
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.scheduling.chooser import Chooser
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 
 MAX_STALE_RESPONSES = 2
 """Maximum number of response heads that are read for one request; late responses to
@@ -46,17 +46,17 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         chooser: Chooser,
         connections: ConnectionPool,
         quarantine: Quarantine,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
-        self.endings = Endings(quarantine, self._avoid_crashed)
+        self.crash_detector = CrashDetector(quarantine, self._avoid_crashed)
         self.backpressure = chooser.backpressure
         self.domain = chooser.domain
         self.connections = connections
@@ -70,13 +70,13 @@
         CallerDisconnectedError
             The caller has disconnected.
         """
-        passage = active.passage
-        attempt = self._open_attempt(passage, choice)
+        context = active.context
+        attempt = self._open_attempt(context, choice)
         connection: Connection | None = None
         try:
             connection = await self.connections.acquire(
                 choice.upstream,
-                fresh=not passage.repeatable,
+                fresh=not context.repeatable,
             )
             if active.caller.has_disconnected():
                 self.connections.return_unused(choice.upstream.name, connection)
@@ -89,14 +89,14 @@
         except UpstreamNotAcceptingError as error:
             logs.info(
                 'upstream spared',
-                request=passage.call.request,
+                request=context.call.request,
                 upstream=choice.upstream.name,
                 reason=str(error),
             )
             return False
         except NotSentError as error:
             active.unreached_count += 1
-            self._record_unreached(passage, choice, error)
+            self._record_unreached(context, choice, error)
             return False
         except IncompleteResponseError as error:
             attempt.reason = str(error)
@@ -108,9 +108,9 @@
     def check_for_crash(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Check whether an upstream that gave no complete response has crashed."""
         upstream = attempt.choice.upstream
-        self.endings.note(
-            upstream.life,
-            active.passage.content,
+        self.crash_detector.record_broken_response(
+            upstream.incarnation,
+            active.context.fingerprint,
             partial(self.connections.is_reachable, upstream),
         )
 
@@ -124,24 +124,24 @@
             self.connections.close_idle(record.name)
         else:
             self.connections.abort_all(record.name)
-        self.endings.confirm(record.life)
-        self.backpressure.pass_on(record.name, newer.name)
+        self.crash_detector.confirm_crash(record.incarnation)
+        self.backpressure.transfer_backoff(record.name, newer.name)
 
-    def _avoid_crashed(self, life: LifeId) -> None:
+    def _avoid_crashed(self, incarnation: UpstreamIncarnation) -> None:
         """Avoid a crashed upstream on this box; the quarantine notifies the hubs."""
-        self.placement.health.crash(UpstreamName(life))
+        self.placement.health.record_crash(UpstreamName(incarnation))
 
-    def _open_attempt(self, passage: Passage, choice: Choice) -> Attempt:
+    def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
-        ticket = Ticket(self.placement.books, name, choice.tokens)
+        ticket = OpenWorkEntry(self.placement.open_work, name, choice.tokens)
         number = 0
-        if passage.pool.engine is not None:
+        if context.pool.engine is not None:
             number = self.link.track(choice.ticket, name, choice.tokens)
-        return Attempt(choice, self.now(), ticket, number, passage.may_have_run)
+        return Attempt(choice, self.now(), ticket, number, context.may_have_run)
 
     def _close_attempt(self, attempt: Attempt, connection: Connection | None) -> None:
         attempt.ticket.close()
-        self.link.end(attempt.number)
+        self.link.record_end(attempt.number)
         if connection is None:
             return
         self.connections.mark_done(attempt.upstream, connection)
@@ -155,7 +155,7 @@
         and for a connection.
         """
         name = choice.upstream.name
-        if not self.backpressure.wants_requests(name):
+        if not self.backpressure.accepts_requests(name):
             self.connections.return_unused(name, connection)
             raise UpstreamNotAcceptingError(
                 f'{name} asked for a backoff or is shutting down'
@@ -171,33 +171,35 @@
         connection: Connection,
     ) -> None:
         self.connections.mark_busy(attempt.upstream, connection)
-        connection.send(self._upstream_request(active.passage, attempt.choice))
+        connection.send(self._upstream_request(active.context, attempt.choice))
         self._record_sent(active, attempt)
 
-    def _upstream_request(self, passage: Passage, choice: Choice) -> UpstreamRequest:
+    def _upstream_request(
+        self, context: RequestContext, choice: Choice
+    ) -> UpstreamRequest:
         forwarding = Forwarding(
             upstream=choice.upstream,
-            account=passage.account,
-            seconds_left=max(0, passage.ends - self.now()),
-            last_event=passage.last_event,
-            body_bytes=len(passage.body),
+            account=context.account,
+            seconds_left=max(0, context.deadline - self.now()),
+            last_event=context.last_event,
+            body_bytes=len(context.body),
         )
-        headers = self.dialect.forward_headers(passage.call, forwarding)
+        headers = self.adapter.forward_headers(context.call, forwarding)
         return UpstreamRequest(
-            passage.call.method,
-            passage.call.target,
+            context.call.method,
+            context.call.target,
             headers,
-            passage.body,
+            context.body,
         )
 
     def _record_sent(self, active: ActiveRequest, attempt: Attempt) -> None:
-        passage = active.passage
-        passage.sent += 1
-        passage.may_have_run = True
+        context = active.context
+        context.sent += 1
+        context.may_have_run = True
         active.last_attempt = attempt
-        prompt = passage.call.prompt
-        if prompt is not None and passage.pool.engine is not None:
-            self.placement.memory.note(attempt.upstream, prompt)
+        prompt = context.call.prompt
+        if prompt is not None and context.pool.engine is not None:
+            self.placement.prefix_cache.record_prompt(attempt.upstream, prompt)
 
     async def _receive(
         self,
@@ -205,19 +207,19 @@
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._read_matching_head(active.passage, attempt, connection)
+        head = await self._read_matching_head(active.context, attempt, connection)
         attempt.head = head
-        mark = self.dialect.read_answer(head.status, head.headers)
-        attempt.backoff = mark.pause
+        mark = self.adapter.read_answer(head.status, head.headers)
+        attempt.backoff = mark.backoff
         attempt.leaving = mark.leaving
-        if mark.other_life:
-            self.placement.health.misplace(attempt.upstream)
+        if mark.other_incarnation:
+            self.placement.health.record_wrong_upstream(attempt.upstream)
         success = HTTPStatus.OK <= head.status < HTTPStatus.MULTIPLE_CHOICES
         if success and not mark.sealed:
             raise IncompleteResponseError(
                 'success response without the seal of the upstream'
             )
-        if success and active.passage.route.streams:
+        if success and active.context.route.streams:
             await self._relay(active, attempt, connection, head)
         else:
             attempt.body = await connection.read_body()
@@ -235,21 +237,21 @@
         def on_event() -> None:
             if attempt.ticket.reading:
                 attempt.first_event = self.now() - attempt.started_at
-                self._record_first_event(active.passage, attempt)
+                self._record_first_event(active.context, attempt)
 
         attempt.streamed = True
         await active.relay.forward(connection, head, on_event)
         attempt.outcome = AttemptOutcome.answered
 
-    def _record_first_event(self, passage: Passage, attempt: Attempt) -> None:
+    def _record_first_event(self, context: RequestContext, attempt: Attempt) -> None:
         attempt.ticket.start()
-        self.link.start(attempt.number)
-        if busy_part() <= SHORT_OF_TIME:
-            self.placement.measure(attempt.ticket, passage.wanted(self.domain))
+        self.link.record_start(attempt.number)
+        if loop_utilization() <= OVERLOADED_UTILIZATION:
+            self.placement.measure(attempt.ticket, context.placement_query(self.domain))
 
     async def _read_matching_head(
         self,
-        passage: Passage,
+        context: RequestContext,
         attempt: Attempt,
         connection: Connection,
     ) -> ResponseHead:
@@ -260,75 +262,75 @@
         """
         for _ in range(MAX_STALE_RESPONSES):
             head = await connection.read_head()
-            mark = self.dialect.read_answer(head.status, head.headers)
+            mark = self.adapter.read_answer(head.status, head.headers)
             self._apply_backpressure(attempt.upstream, mark)
-            if mark.request in {'', passage.call.request}:
+            if mark.request in {'', context.call.request}:
                 return head
             await connection.read_body()
             logs.info(
                 'stale response skipped',
-                request=passage.call.request,
+                request=context.call.request,
                 answered=mark.request,
             )
             if not connection.expect_another_response():
                 break
         raise IncompleteResponseError('only answers to other requests came')
 
-    def _apply_backpressure(self, name: UpstreamName, mark: AnswerMark) -> None:
+    def _apply_backpressure(self, name: UpstreamName, mark: ResponseMarks) -> None:
         """Apply the backoff or shutdown that a response announces.
 
         It also counts in a stale response to another request.
         """
         # Without this, 438 requests within 5 s of load went to upstreams that had asked
         # this box for a backoff.
-        self.backpressure.pause(name, mark.pause)
+        self.backpressure.pause(name, mark.backoff)
         # A box that reached no hub sent 12 of 12 further requests to an upstream that
         # was shutting down.
         if mark.leaving:
-            self.backpressure.leave(name)
+            self.backpressure.mark_leaving(name)
 
     def _record_outcome(self, active: ActiveRequest, attempt: Attempt) -> None:
         """Update the upstream's health, and whether the request may have run."""
         health = self.placement.health
         if attempt.outcome in {AttemptOutcome.answered, AttemptOutcome.failed}:
-            self.quarantine.note_answer(active.passage.content)
+            self.quarantine.record_answer(active.context.fingerprint)
         if attempt.outcome is AttemptOutcome.answered:
-            health.succeed(attempt.upstream, self.now() - attempt.started_at)
+            health.record_success(attempt.upstream, self.now() - attempt.started_at)
             return
         if attempt.outcome is AttemptOutcome.broken:
-            health.fail(attempt.upstream, attempt.reason)
-            self.link.fail(attempt.upstream)
+            health.record_failure(attempt.upstream, attempt.reason)
+            self.link.report_failure(attempt.upstream)
             self.check_for_crash(active, attempt)
         else:
-            health.err(attempt.upstream)
+            health.record_error(attempt.upstream)
         if attempt.outcome is AttemptOutcome.not_run:
-            active.passage.may_have_run = attempt.may_have_run_before
+            active.context.may_have_run = attempt.may_have_run_before
         logs.info(
             'attempt failed',
-            request=active.passage.call.request,
-            content=active.passage.content.hex(),
+            request=active.context.call.request,
+            content=active.context.fingerprint.hex(),
             upstream=attempt.upstream,
             verdict=attempt.outcome.value,
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
-            attempt=active.passage.sent,
+            attempt=active.context.sent,
             pause=attempt.backoff,
             leaving=attempt.leaving,
-            decided_by=active.passage.decided_by,
+            decided_by=active.context.decided_by,
         )
 
     def _record_unreached(
         self,
-        passage: Passage,
+        context: RequestContext,
         choice: Choice,
         error: NotSentError,
     ) -> None:
         logs.info(
             'upstream not reached',
-            request=passage.call.request,
+            request=context.call.request,
             upstream=choice.upstream.name,
             reason=str(error),
         )
-        self.placement.health.fail(choice.upstream.name, 'not reached')
-        self.link.fail(choice.upstream.name)
+        self.placement.health.record_failure(choice.upstream.name, 'not reached')
+        self.link.report_failure(choice.upstream.name)
         self.connections.close_idle(choice.upstream.name)
--- a/packages/edge/src/hitchdeck_edge/hub/replica.py
+++ b/packages/edge/src/hitchdeck_edge/hub/replica.py
@@ -2,13 +2,18 @@
 
 from pathlib import Path
 
-from hitchdeck_control.raft.replica import Machinery, Replica, Self, Timing
+from hitchdeck_control.raft.replica import (
+    Replica,
+    ReplicaIdentity,
+    StateMachineCallbacks,
+    Timing,
+)
 from hitchdeck_control.storage.identity import open_identity
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
 from hitchdeck_core.wire.spread_pb2 import EvacuationList
-from hitchdeck_edge.hub.machine import GroupMachine
+from hitchdeck_edge.hub.state_machine import GroupStateMachine
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.documents import Documents
@@ -44,17 +49,17 @@
     folder = group_folder(settings.data_folder)
     identity = open_identity(folder, box)
 
-    def take_document(version: DocumentVersion, packed: bytes) -> None:
+    def store_document(version: DocumentVersion, packed: bytes) -> None:
         documents.offer(version, packed, ORIGIN)
 
-    def take_evacuations(message: EvacuationList) -> None:
+    def store_evacuations(message: EvacuationList) -> None:
         evacuations.offer(message, ORIGIN)
 
-    machine = GroupMachine(take_document, take_evacuations)
+    machine = GroupStateMachine(store_document, store_evacuations)
     return Replica(
-        Self(identity, box, Address(settings.listen)),
+        ReplicaIdentity(identity, box, Address(settings.listen)),
         DurableLog(folder),
-        Machinery(machine.apply, machine.dump, machine.load),
+        StateMachineCallbacks(machine.apply, machine.dump, machine.load),
         Timing(settings.heartbeat, settings.election_timeout, SNAPSHOT_EVERY),
         boot_seconds,
     )
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -6,21 +6,21 @@
 from tornado.httpserver import HTTPServer
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, busy_part, take_longest_turn
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
+from hitchdeck_core.loop_load import PERCENT, loop_utilization, take_longest_turn
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_edge.dispatch.budget import RetryBudget
 from hitchdeck_edge.dispatch.connections import ConnectionPool
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.links.attend import Attendant
 from hitchdeck_edge.links.entry import EntryLink
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hub_streams import HubStreams
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
 from hitchdeck_edge.serving.caller_server import CallerServer
@@ -28,7 +28,7 @@
 from hitchdeck_edge.serving.handoff import Handoff
 from hitchdeck_edge.serving.status_pages import listen, metrics_page, ready_page
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import Knowledge, new_knowledge
+from hitchdeck_edge.state.fleet_state import FleetState, new_fleet_state
 from hitchdeck_edge.state.relief import ReliefTargets
 
 STOP_POLL_SECONDS = 0.1
@@ -48,7 +48,7 @@
 
     settings: EntrySettings
     link: EntryLink
-    known_hubs: HubBook
+    known_hubs: KnownHubs
     admission: Admission
     caller_server: CallerServer
     graceful_stop: GracefulStop
@@ -96,7 +96,7 @@
             logs.warning(
                 'behind its sockets',
                 longest_turn=round(longest, 3),
-                busy_percent=round(PERCENT * busy_part()),
+                busy_percent=round(PERCENT * loop_utilization()),
                 open_requests=len(self.admission.tasks),
             )
 
@@ -107,24 +107,24 @@
             sender.connections.close_idle(name)
         for record, newer in registry.replaced():
             sender.replace(record, newer)
-        sender.backpressure.keep(registry.names())
-        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.closed())
+        sender.backpressure.retain(registry.names())
+        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.blocked())
         self.admission.metrics.upstream_changes = registry.changes
         self.admission.metrics.handed_off = self.caller_server.handoff.handed_off
 
 
-async def start_entry(settings: EntrySettings, dialect: Dialect) -> EntryBox:
+async def start_entry(settings: EntrySettings, adapter: PlatformAdapter) -> EntryBox:
     """Start an entry box for the platform that the adapter describes."""
-    knowledge = new_knowledge(settings, dialect)
+    fleet_state = new_fleet_state(settings, adapter)
     seeds = map(Address, settings.seeds)
-    known_hubs = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, dialect, knowledge, known_hubs)
+    known_hubs = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    dispatcher = _dispatcher(settings, adapter, fleet_state, known_hubs)
     graceful_stop = GracefulStop(settings.stop_grace, boot_seconds)
-    admission = Admission(dialect, knowledge, dispatcher, graceful_stop, boot_seconds)
+    admission = Admission(adapter, fleet_state, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
-        link=EntryLink(settings, knowledge, dispatcher.budget, targets),
+        link=EntryLink(settings, fleet_state, dispatcher.budget, targets),
         known_hubs=known_hubs,
         admission=admission,
         caller_server=CallerServer(
@@ -143,9 +143,9 @@
 
 def _dispatcher(
     settings: EntrySettings,
-    dialect: Dialect,
-    knowledge: Knowledge,
-    known_hubs: HubBook,
+    adapter: PlatformAdapter,
+    fleet_state: FleetState,
+    known_hubs: KnownHubs,
 ) -> Dispatcher:
     budget = RetryBudget(
         settings.retry_share,
@@ -156,18 +156,18 @@
     link = PlacingLink(
         settings.box,
         known_hubs,
-        knowledge.registry,
+        fleet_state.registry,
         settings.fleet_token,
-        knowledge.scheduler.shares,
+        fleet_state.scheduler.shares,
     )
-    chooser = Chooser(settings.domain, knowledge.scheduler, link)
+    chooser = Chooser(settings.domain, fleet_state.scheduler, link)
     # A box that places requests without a scheduler uses one box's part of the
     # budget for cold upstreams.
-    chooser.local.placement.cold_budget.part = budget.fleet_fraction
+    chooser.local.placement.cold_budget.rate_fraction = budget.fleet_fraction
     connections = ConnectionPool(boot_seconds)
-    quarantine = knowledge.quarantine
-    sender = Sender(dialect, chooser, connections, quarantine, boot_seconds)
-    return Dispatcher(dialect, chooser, sender, budget, boot_seconds)
+    quarantine = fleet_state.quarantine
+    sender = Sender(adapter, chooser, connections, quarantine, boot_seconds)
+    return Dispatcher(adapter, chooser, sender, budget, boot_seconds)
 
 
 def _start(box: EntryBox) -> None:
@@ -182,9 +182,9 @@
     if settings.metrics_listen is not None:
         figures = metrics_page(box.admission.metrics.render)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
-    attendance = box.link.attendance(box.known_hubs)
-    attendant = Attendant(box.known_hubs, attendance, settings.fleet_token)
-    box.supervisor.permanent('hubs', attendant.run)
+    handlers = box.link.stream_handlers(box.known_hubs)
+    streams = HubStreams(box.known_hubs, handlers, settings.fleet_token)
+    box.supervisor.permanent('hubs', streams.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
     box.supervisor.permanent('upkeep', box.run_upkeep)
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -4,18 +4,18 @@
 import random
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import busy_part, loop_lag
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import PoolName, RequestId
+from hitchdeck_core.loop_load import loop_lag, loop_utilization
 from hitchdeck_edge.dispatch.attempts import ActiveRequest
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.responses import send_refusal
 from hitchdeck_edge.errors import CallerDisconnectedError, MalformedRequestError
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.document import Route, common_homes
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.document import Route, common_areas
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import CallerConnection
 from hitchdeck_edge.serving.caller_server import IncomingRequest
 from hitchdeck_edge.serving.graceful_stop import GracefulStop
@@ -23,7 +23,7 @@
 from hitchdeck_edge.serving.overload import is_overloaded, should_admit
 from hitchdeck_edge.serving.rejections import RejectionLog
 from hitchdeck_edge.serving.shedding import Shedder
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.fleet_state import FleetState
 
 CALLER_DISCONNECTED = 'caller gone'
 """Outcome of a request whose caller disconnected before the response."""
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        dialect: Dialect,
-        knowledge: Knowledge,
+        adapter: PlatformAdapter,
+        knowledge: FleetState,
         dispatcher: Dispatcher,
         graceful_stop: GracefulStop,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.documents = knowledge.documents
         self.dispatcher = dispatcher
         self.graceful_stop = graceful_stop
@@ -59,7 +59,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.rejections = RejectionLog(now)
         self.shedder = Shedder(
-            dialect.request_field, self._should_admit, self._record_rejection
+            adapter.request_field, self._should_admit, self._record_rejection
         )
 
     def start_serving(self, incoming: IncomingRequest) -> None:
@@ -82,19 +82,19 @@
 
     def is_overloaded(self) -> bool:
         """Tell whether this box may have to reject requests."""
-        return is_overloaded(busy_part(), loop_lag())
+        return is_overloaded(loop_utilization(), loop_lag())
 
     def _should_admit(self) -> bool:
-        return should_admit(busy_part(), loop_lag())
+        return should_admit(loop_utilization(), loop_lag())
 
     def _reject(self, incoming: IncomingRequest, caller: CallerConnection) -> None:
         """Reject a request because this box is overloaded.
 
         To keep this cheap, the head is not decoded and no task is created.
         """
-        request = RequestId(incoming.headers.get(self.dialect.request_field, ''))
+        request = RequestId(incoming.headers.get(self.adapter.request_field, ''))
         try:
-            send_refusal(self.dialect, request, caller, Refusal.no_time_here)
+            send_refusal(self.adapter, request, caller, Refusal.no_time_here)
         except CallerDisconnectedError:
             self.metrics.record_undispatched(CALLER_DISCONNECTED)
             return
@@ -132,7 +132,7 @@
         if call is not None:
             await self._dispatch(call, body, caller, arrived)
             return
-        send_refusal(self.dialect, _NO_ID, caller, Refusal.bad_request)
+        send_refusal(self.adapter, _NO_ID, caller, Refusal.bad_request)
         self._record_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
     def _decode(self, incoming: IncomingRequest) -> Call | None:
@@ -140,7 +140,7 @@
         assert start is not None
         headers = incoming.headers.get_all()
         try:
-            return self.dialect.read_call(start.method, start.path, headers)
+            return self.adapter.read_call(start.method, start.path, headers)
         except MalformedRequestError as error:
             logs.info('malformed request', reason=str(error))
             return None
@@ -155,7 +155,7 @@
         await self._wait_for_document(call, arrived)
         decision = self._admit(call, body, arrived)
         if isinstance(decision, Refusal):
-            send_refusal(self.dialect, call.request, caller, decision)
+            send_refusal(self.adapter, call.request, caller, decision)
             self._record_end(call.request, caller, decision.name, arrived, call)
             return
         self.metrics.record_admitted(decision.route.name)
@@ -173,12 +173,14 @@
         Callers retry only once or twice, often before the document arrives, so
         that rejecting at once would fail their requests.
         """
-        patience = call.patience or DOCUMENT_WAIT_SECONDS
+        patience = call.timeout or DOCUMENT_WAIT_SECONDS
         until = arrived + min(DOCUMENT_WAIT_SECONDS, patience * DOCUMENT_WAIT_FRACTION)
         while self.documents.document is None and self.now() < until:
             await self.documents.changed.wait(until - self.now())
 
-    def _admit(self, call: Call, body: bytes, arrived: float) -> Passage | Refusal:
+    def _admit(
+        self, call: Call, body: bytes, arrived: float
+    ) -> RequestContext | Refusal:
         document = self.documents.document
         if document is None:
             return Refusal.no_document
@@ -189,14 +191,14 @@
         account = table.account(call.key) if route.needs_key else None
         if route.needs_key and account is None:
             return Refusal.no_key
-        homes = common_homes(route, account)
+        homes = common_areas(route, account)
         if homes is None:
             return Refusal.no_upstream
         if self._would_outlast_stop(route):
             return Refusal.stopping
         pool = document.pools[_choose_pool(route)]
-        patience = min(call.patience or route.time_limit, route.time_limit)
-        return Passage(
+        patience = min(call.timeout or route.time_limit, route.time_limit)
+        return RequestContext(
             call=call,
             body=body,
             route=route,
@@ -204,7 +206,7 @@
             account=account.name if account else None,
             version=document.version,
             arrived=arrived,
-            ends=arrived + patience,
+            deadline=arrived + patience,
             last_event=call.last_event,
             areas=homes,
         )
@@ -214,28 +216,28 @@
         return self.graceful_stop.should_refuse(longest, streams=route.streams)
 
     def _record_service(self, active: ActiveRequest) -> None:
-        passage = active.passage
+        context = active.context
         last_attempt = active.last_attempt
-        seconds = self.now() - passage.arrived
-        self.metrics.record_served(passage, active.response.outcome, seconds)
+        seconds = self.now() - context.arrived
+        self.metrics.record_served(context, active.response.outcome, seconds)
         logs.info(
             'request',
-            request=passage.call.request,
-            route=passage.route.name,
-            account=passage.account,
-            version=passage.version,
+            request=context.call.request,
+            route=context.route.name,
+            account=context.account,
+            version=context.version,
             outcome=active.response.outcome,
             status=active.caller.status,
             upstream=last_attempt.upstream if last_attempt else '',
-            sent=passage.sent,
+            sent=context.sent,
             expected_queue=round(last_attempt.choice.queue, 3) if last_attempt else 0,
-            decided_by=passage.decided_by,
+            decided_by=context.decided_by,
             unread=last_attempt.choice.tokens if last_attempt else 0,
             first_event=round(last_attempt.first_event, 3) if last_attempt else 0,
-            goal=passage.route.goal,
+            goal=context.route.goal,
             seconds=round(seconds, 3),
-            **_quarantine_fields(passage, active.response.outcome),
-            **_size_fields(passage.call),
+            **_quarantine_fields(context, active.response.outcome),
+            **_size_fields(context.call),
         )
 
     def _record_end(
@@ -258,11 +260,11 @@
         )
 
 
-def _quarantine_fields(passage: Passage, outcome: str) -> dict[str, object]:
+def _quarantine_fields(context: RequestContext, outcome: str) -> dict[str, object]:
     """Return the fingerprint that links a quarantined request to earlier crashes."""
     if outcome != Refusal.quarantined.name:
         return {}
-    return {'content': passage.content.hex()}
+    return {'content': context.fingerprint.hex()}
 
 
 def _size_fields(call: Call) -> dict[str, object]:
@@ -276,8 +278,8 @@
         return {}
     return {
         'prompt': prompt.tokens,
-        'expected_made': prompt.expected_made,
-        'last_part': prompt.parts[-1].part if prompt.parts else '',
+        'expected_made': prompt.expected_output_tokens,
+        'last_part': prompt.parts[-1].part_id if prompt.parts else '',
     }
 
 
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -7,8 +7,8 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from hitchdeck_core.busyness import busy_part
-from hitchdeck_core.sockets import has_ended
+from hitchdeck_core.loop_load import loop_utilization
+from hitchdeck_core.sockets import peer_has_closed
 from hitchdeck_edge.errors import CallerDisconnectedError
 from hitchdeck_edge.serving.overload import should_close
 
@@ -41,7 +41,7 @@
         upstream 1.5 s after its caller had closed.  Asking the socket takes 1 us.
         """
         stream = self.connection.stream
-        return self.disconnected or stream.closed() or has_ended(stream.socket)
+        return self.disconnected or stream.closed() or peer_has_closed(stream.socket)
 
     async def start_response(
         self, status: int, reason: str, headers: ResponseHeaders
@@ -133,7 +133,7 @@
         fields = HTTPHeaders()
         for name, text in headers:
             fields.add(name, text)
-        if should_close(busy_part()):
+        if should_close(loop_utilization()):
             fields['Connection'] = 'close'
         self.started = True
         self.status = status
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -19,7 +19,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.ids import Address
-from hitchdeck_core.sockets import set_probes
+from hitchdeck_core.sockets import enable_keepalive
 from hitchdeck_edge.state.relief import ReliefTargets
 
 HANDOFF_START = 0.55
@@ -115,7 +115,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport, and enable keepalive to detect a lost host."""
         super().connection_made(transport)
-        set_probes(transport.get_extra_info('socket'))
+        enable_keepalive(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
         """Consume the greeting, then forward bytes to the peer."""
@@ -208,7 +208,7 @@
         logs.info('box not reached', box_address=target_end.target, reason=repr(error))
         target_end.greeted.cancel()
         _abort(target_end)
-        self.targets.distrust(target_end.target)
+        self.targets.mark_unreachable(target_end.target)
         loop = asyncio.get_running_loop()
         loop.call_later(
             SILENCE_TIMEOUT_SECONDS,
--- a/packages/edge/src/hitchdeck_edge/serving/metrics.py
+++ b/packages/edge/src/hitchdeck_edge/serving/metrics.py
@@ -2,11 +2,11 @@
 
 from collections import Counter
 
-from hitchdeck_core.busyness import PERCENT, busy_part
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
+from hitchdeck_core.loop_load import PERCENT, loop_utilization
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.model.passage import THIS_BOX, Passage
+from hitchdeck_edge.model.request_context import THIS_BOX, RequestContext
 
 MS_PER_SECOND = 1000.0
 MAX_HISTOGRAMS = 60
@@ -56,14 +56,16 @@
         self.upstream_changes = 0
         self.handed_off = 0
 
-    def record_served(self, passage: Passage, outcome: str, seconds: float) -> None:
+    def record_served(
+        self, context: RequestContext, outcome: str, seconds: float
+    ) -> None:
         """Record a request that was dispatched."""
-        self.record_duration(passage.route.name, seconds)
+        self.record_duration(context.route.name, seconds)
         self.outcomes[outcome] += 1
-        account = passage.account or ''
+        account = context.account or ''
         self.accounts[(account, outcome)] += 1
-        self.placed_locally += passage.decided_by == THIS_BOX
-        kind = 'stream' if passage.route.streams else 'call'
+        self.placed_locally += context.decided_by == THIS_BOX
+        kind = 'stream' if context.route.streams else 'call'
         self.histograms.record('request_ms', (kind,), seconds * MS_PER_SECOND)
 
     def longest_seconds(self, route: RouteName) -> float:
@@ -92,7 +94,7 @@
     def render(self) -> str:
         """Return all metrics in the Prometheus text format."""
         lines = [
-            f'hitchdeck_busy_percent {PERCENT * busy_part():.0f}',
+            f'hitchdeck_busy_percent {PERCENT * loop_utilization():.0f}',
             f'hitchdeck_longest_turn_ms {MS_PER_SECOND * self.longest_turn:.0f}',
             f'hitchdeck_placed_alone_total {self.placed_locally}',
             f'hitchdeck_upstreams_unwilling {self.unwilling_upstreams}',
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -326,13 +326,15 @@
     """Return how far each process is, for whoever waited for it in vain."""
     told = []
     for hub in site.hubs:
-        figures = ', '.join(hub.figures().replace('hitchdeck_', '').splitlines())
-        told.append(f'{hub.settings.box}: live {sorted(hub.book.live)}, {figures}')
+        figures = ', '.join(hub.metrics_text().replace('hitchdeck_', '').splitlines())
+        told.append(
+            f'{hub.settings.box}: live {sorted(hub.known_hubs.reachable)}, {figures}'
+        )
     for box in site.boxes:
         known = box.link.known
         names = sorted(known.registry.names())
         told.append(
-            f'{box.settings.box}: hubs {sorted(box.known_hubs.live)}, '
+            f'{box.settings.box}: hubs {sorted(box.known_hubs.reachable)}, '
             f'document {known.documents.version}, upstreams {names}',
         )
     return '; '.join(told)
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -33,7 +33,7 @@
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.view import FleetView
-from hitchdeck_router.scheduling.placement import CacheRecord, choose_upstream
+from hitchdeck_router.scheduling.placement import CacheIndex, choose_upstream
 from hitchdeck_router.serving.addresses import addresses_for
 
 U1, U2 = UpstreamName('u1'), UpstreamName('u2')
@@ -150,7 +150,7 @@
     assert not lease.is_live()
     number = lease.next_beat()
     clock[0] = 2.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert lease.is_live()
     clock[0] = 2.9
     assert not lease.is_live(), 'the answer took 2 of the 3 seconds'
@@ -160,11 +160,11 @@
     clock = [0.0]
     lease = ConfigurationLease(lambda: clock[0])
     number = lease.next_beat()
-    lease.granted(number + 1, 3.0)
+    lease.renew(number + 1, 3.0)
     assert not lease.is_live()
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     clock[0] = 10.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert not lease.is_live()
 
 
@@ -204,29 +204,29 @@
     for report in (sums(a=10), sums(a=30), sums(a=10), sums(a=30)):
         table.merge('life', report)
     table.merge('other', sums(a=5))
-    table.end('life')
+    table.retire('life')
     table.merge('life', sums(a=40))
     assert table.by_account['a'] == 35
-    assert [one.cost for one in table.elsewhere('q/0', 0)] == [35]
-    assert [one.cost for one in table.elsewhere('p/0', 0)] == [0]
-    assert not list(table.elsewhere('q/0', table.position))
+    assert [one.cost for one in table.usage_outside('q/0', 0)] == [35]
+    assert [one.cost for one in table.usage_outside('p/0', 0)] == [0]
+    assert not list(table.usage_outside('q/0', table.position))
 
 
 def test_placement_prefers_the_cache_unless_it_is_full() -> None:
-    record = CacheRecord()
-    record.note(U1, (1, 2))
-    record.note(U2, (), 'session')
-    assert record.holder((1, 2, 3), '') == U1
-    assert record.holder((1,), 'session') == U2
-    assert record.holder((9,), '') is None
+    record = CacheIndex()
+    record.add(U1, (1, 2))
+    record.add(U2, (), 'session')
+    assert record.lookup((1, 2, 3), '') == U1
+    assert record.lookup((1,), 'session') == U2
+    assert record.lookup((9,), '') is None
     assert choose_upstream({U1: 1, U2: 5}, U1) == U1
     assert choose_upstream({U1: 0, U2: 5}, U1) == U2
     assert choose_upstream({U1: 0, U2: -1}, U1) is None
 
 
 def test_record_of_caches_is_bounded_and_takes_hints() -> None:
-    record = CacheRecord(most=3)
-    record.note(U1, range(10))
+    record = CacheIndex(max_entries=3)
+    record.add(U1, range(10))
     assert list(record.blocks) == [7, 8, 9]
     record.forget(U2, [9])
     record.forget(U1, [8])
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -13,9 +13,9 @@
 from hitchdeck_core.ids import Address, PoolName, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
-from hitchdeck_edge.hub.attendees import Attendee, Attendees
+from hitchdeck_edge.hub.connected_boxes import ConnectedBox, ConnectedBoxes
 from hitchdeck_edge.hub.process import Hub
-from hitchdeck_edge.hub.spread import GATHERING_SECONDS
+from hitchdeck_edge.hub.spread import FRAME_INTERVAL_SECONDS
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.settings import HubSettings
 from hitchdeck_edge.state.registry import Registry
@@ -68,7 +68,7 @@
 def live_hubs_vote(site: Site) -> bool:
     """Tell whether the voters are the hubs that run, under their present ids."""
     replicas = [hub.replica for hub in site.hubs if hub.replica is not None]
-    present = {replica.me.replica for replica in replicas}
+    present = {replica.identity.replica for replica in replicas}
     return any(
         replica.has_lease() and {one.replica for one in replica.voters()} == present
         for replica in replicas
@@ -250,11 +250,15 @@
     # Three hubs of six were never admitted where both shared a machine.
     hub = Hello(box='m1', hub_address='10.0.0.1:7', replica='m1#1')
     entry = Hello(box='m1', entry_address='10.0.0.1:8')
-    attendees = Attendees(boot_seconds, 'a')
+    connected_boxes = ConnectedBoxes(boot_seconds, 'a')
     for hello in (hub, entry) if hub_first else (entry, hub):
-        attendees.note(attendees.enter(hello), BoxFrame(ready=True))
-    assert [one.hello.replica for one in attendees.hubs()] == ['m1#1']
-    assert [one.hello.entry_address for one in attendees.entries()] == ['10.0.0.1:8']
+        connected_boxes.record_frame(
+            connected_boxes.register(hello), BoxFrame(ready=True)
+        )
+    assert [one.hello.replica for one in connected_boxes.hubs()] == ['m1#1']
+    assert [one.hello.entry_address for one in connected_boxes.ready_entries()] == [
+        '10.0.0.1:8'
+    ]
 
 
 @pytest.mark.parametrize(
@@ -267,11 +271,11 @@
     told: bool,
 ) -> None:
     clock = FakeClock()
-    attendees = Attendees(clock, 'a')
+    connected_boxes = ConnectedBoxes(clock, 'a')
     hello = Hello(box='m1', domain=domain, entry_address='10.0.0.1:8')
-    attendees.note(attendees.enter(hello), BoxFrame(ready=True))
+    connected_boxes.record_frame(connected_boxes.register(hello), BoxFrame(ready=True))
     clock.seconds += seconds
-    assert bool(attendees.entries()) == told
+    assert bool(connected_boxes.ready_entries()) == told
 
 
 def upstream(name: str, sequence: int, phase: Phase = Phase.serving) -> Upstream:
@@ -309,9 +313,9 @@
     registry = Registry(boot_seconds, Signal())
     registry.merge(upstream('new', 1), 'test')
     registry.merge(upstream('old', 9), 'test')
-    assert registry.records[UpstreamName('new')].silent
+    assert registry.records[UpstreamName('new')].unresponsive
     registry.merge(upstream('new', 2), 'test')
-    assert not registry.records[UpstreamName('new')].silent
+    assert not registry.records[UpstreamName('new')].unresponsive
     assert registry.records[UpstreamName('new')].phase is Phase.serving
 
 
@@ -319,24 +323,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     looks: list[str] = []
-    attendees = Attendees(FakeClock(), 'a')
-    idle = attendees.idle
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
+    idle = connected_boxes.idle_interval
 
-    def counted(attendee: Attendee) -> float:
-        looks.append(attendee.hello.box)
-        return idle(attendee)
+    def counted(connected_box: ConnectedBox) -> float:
+        looks.append(connected_box.hello.box)
+        return idle(connected_box)
 
-    monkeypatch.setattr(attendees, 'idle', counted)
+    monkeypatch.setattr(connected_boxes, 'idle_interval', counted)
     for number in range(300):
         hello = Hello(box=f'b{number}', entry_address=f'b{number}:1', domain='a')
-        attendees.note(attendees.enter(hello), BoxFrame(ready=True))
+        connected_boxes.record_frame(
+            connected_boxes.register(hello), BoxFrame(ready=True)
+        )
     for number in range(5):
-        attendees.enter(Hello(box=f'h{number}', hub_address=f'h{number}:1'))
-    assert attendees.box_count() == 300
+        connected_boxes.register(Hello(box=f'h{number}', hub_address=f'h{number}:1'))
+    assert connected_boxes.box_count() == 300
     looks.clear()
     for _ in range(10):
-        assert len(attendees.hub_addresses()) == 5
-        assert attendees.box_count() == 300
+        assert len(connected_boxes.hub_addresses()) == 5
+        assert connected_boxes.box_count() == 300
     assert len(looks) == 50
 
 
@@ -353,22 +359,22 @@
 def test_news_goes_at_once_to_those_who_hear_it_from_no_nearer_hub(
     hello: Hello, *, reports: bool, at_once: bool
 ) -> None:
-    attendees = Attendees(FakeClock(), 'a')
-    attendee = attendees.enter(hello)
-    attendees.note(attendee, BoxFrame(wants_reports=reports))
-    assert attendees.hears_at_once(attendee) is at_once
+    connected_boxes = ConnectedBoxes(FakeClock(), 'a')
+    connected_box = connected_boxes.register(hello)
+    connected_boxes.record_frame(connected_box, BoxFrame(wants_reports=reports))
+    assert connected_boxes.gets_updates_at_once(connected_box) is at_once
 
 
 async def test_a_burst_of_news_reaches_a_box_in_few_frames(site: Site) -> None:
     accepted: list[int] = []
     link = site.boxes[0].link
-    take = link._accept
+    take = link._apply_frame
 
-    def counted(hub: Address, frame: HubFrame, *, is_home: bool) -> None:
+    def counted(hub: Address, frame: HubFrame, *, is_report_hub: bool) -> None:
         accepted.append(len(frame.upstreams))
-        take(hub, frame, is_home=is_home)
+        take(hub, frame, is_report_hub=is_report_hub)
 
-    link._accept = counted
+    link._apply_frame = counted
     hub = site.hubs[0]
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -382,5 +388,5 @@
     await until(lambda: 'burst59' in link.known.registry.records)
     assert sum(accepted) >= 60
     # However long the burst takes: each hub's frames are some time apart.
-    most = (loop.time() - began) / GATHERING_SECONDS + 2
+    most = (loop.time() - began) / FRAME_INTERVAL_SECONDS + 2
     assert len([one for one in accepted if one]) <= len(site.hubs) * most
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.errors import DocumentError, MalformedRequestError
 from hitchdeck_edge.links.placing_messages import encode_wanted
 from hitchdeck_edge.links.records import encode_upstream
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.state.tallies import Tally
 from hitchdeck_platform.documents import read_document
 from hitchdeck_platform.errors import FieldError
@@ -300,13 +300,13 @@
             ('Prompt-Prefix', ','.join(f'{n}:{one}' for n, one in enumerate(parts))),
         ],
     )
-    assert call.patience is not None
-    wanted = Wanted(
+    assert call.timeout is not None
+    wanted = PlacementQuery(
         request=call.request,
         pool=PoolName('s'),
         domain='a',
         slots=64,
-        goal=call.patience,
+        goal=call.timeout,
         account=AccountName('t'),
         prompt=call.prompt,
         tried=frozenset(),
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -13,9 +13,9 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.model.refusals import ELSEWHERE_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.refusals import OTHER_BOX_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving import admission, caller
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_site import HOST, KEY, Site, document, running_site
@@ -234,12 +234,12 @@
     busy: float,
     status: int,
 ) -> None:
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == status
     assert ran(site, 'r1') == (status == 200)
     if status == 503:
-        assert reply.headers['Retry-After'] == str(ELSEWHERE_RETRY_SECONDS)
+        assert reply.headers['Retry-After'] == str(OTHER_BOX_RETRY_SECONDS)
 
 
 async def test_what_a_box_has_no_time_for_is_answered_undecoded(
@@ -249,8 +249,8 @@
     # What a refusal costs is taken from the requests that the box serves: where
     # all of an account's requests come to one box, from that account's share.
     unread = replace(DIALECT, read_call=fail_to_read)
-    monkeypatch.setattr(site.boxes[0].admission, 'dialect', unread)
-    monkeypatch.setattr(admission, 'busy_part', lambda: 1.0)
+    monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: 1.0)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == 503
     assert reply.headers['Attempt-Id'] == 'r1'
@@ -271,8 +271,8 @@
     scheduler = site.hubs[0].placing.scheduler
     choose = dispatcher.chooser.choose
 
-    async def choose_late(passage: Passage) -> Choice | Refusal:
-        choice = await choose(passage)
+    async def choose_late(context: RequestContext) -> Choice | Refusal:
+        choice = await choose(context)
         # The loop does nothing meanwhile, so no timer ends the request.
         time.sleep(0.3)
         return choice
@@ -313,6 +313,6 @@
 ) -> None:
     # The connection to a box that refuses at once is always free: one of 24
     # boxes got a half of all requests, and refused most of them.
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
-    monkeypatch.setattr(caller, 'busy_part', lambda: busy)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
+    monkeypatch.setattr(caller, 'loop_utilization', lambda: busy)
     assert ('Connection: close' in await head_of(site)) == asked
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -10,11 +10,11 @@
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import Books
-from hitchdeck_edge.scheduling.memory import PrefixMemory
-from hitchdeck_edge.scheduling.patience import longest_queue
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
-from hitchdeck_edge.scheduling.shares import even_level
+from hitchdeck_edge.scheduling.prefix_cache import PrefixCacheModel
+from hitchdeck_edge.scheduling.queue_limit import max_queue_seconds
+from hitchdeck_edge.scheduling.shares import fair_share_level
 from hitchdeck_edge.state.registry import Registry
 from tests.common.scheduling import (
     FakeClock,
@@ -44,7 +44,7 @@
     level: float,
 ) -> None:
     named = {account(name): amount for name, amount in asked.items()}
-    assert even_level(named, capacity) == level
+    assert fair_share_level(named, capacity) == level
 
 
 @pytest.mark.parametrize('flood', [20, 60])
@@ -82,7 +82,7 @@
     first = scheduler.place(('box', 0), wanted(tokens=20_000))
     assert isinstance(first, Choice)
     scheduler.start(('box', 0))
-    scheduler.enter(('box', 1), first.upstream.name, 40_000)
+    scheduler.add_open(('box', 1), first.upstream.name, 40_000)
     second = scheduler.decide(wanted(tokens=20_000))
     assert isinstance(second, Choice)
     assert second.upstream.name != first.upstream.name
@@ -92,12 +92,14 @@
     scheduler = scheduler_of(FakeClock(), 4)
     for number in range(40):
         scheduler.place(('box', number), wanted(subject=str(number)))
-    books = scheduler.placement.books
-    loads = [books.running(UpstreamName(f'e{number}')) for number in range(4)]
+    open_work = scheduler.placement.open_work
+    loads = [open_work.running(UpstreamName(f'e{number}')) for number in range(4)]
     assert max(loads) - min(loads) <= 2
-    scheduler.leave('box')
+    scheduler.drop_box('box')
     assert not scheduler.open
-    assert all(books.running(UpstreamName(f'e{number}')) == 0 for number in range(4))
+    assert all(
+        open_work.running(UpstreamName(f'e{number}')) == 0 for number in range(4)
+    )
 
 
 def test_what_would_begin_far_too_late_is_refused_at_once() -> None:
@@ -134,7 +136,7 @@
         clock.seconds += held
         scheduler.end(('box', number))
     for number in range(running):
-        scheduler.enter(('box', number), UpstreamName('e0'), 0)
+        scheduler.add_open(('box', number), UpstreamName('e0'), 0)
     choice = scheduler.placement.choose(wanted())
     assert choice is not None
     assert choice.queue == pytest.approx(expected, abs=0.02)
@@ -159,7 +161,7 @@
     offer(scheduler, 100)
     decisions = [scheduler.decide(wanted()) for _ in range(40)]
     assert set(decisions) == {Refusal.no_upstream}
-    assert scheduler.shares.standing(account('ann')) == 0
+    assert scheduler.shares.share_used(account('ann')) == 0
 
 
 def test_an_outage_saves_up_no_burst_of_share() -> None:
@@ -173,7 +175,7 @@
     scheduler.placement.registry.merge(engine('e0'), 'test')
     for _ in range(100):
         scheduler.place(('box', 0), wanted())
-    assert scheduler.shares.standing(account('ann')) > 1
+    assert scheduler.shares.share_used(account('ann')) > 1
 
 
 @pytest.mark.parametrize(
@@ -199,7 +201,7 @@
     longest: float,
 ) -> None:
     choice = Choice(engine('e0'), unread, 0, reading=reading)
-    patience = longest_queue(wanted(tokens=tokens), choice, standing)
+    patience = max_queue_seconds(wanted(tokens=tokens), choice, standing)
     assert patience == pytest.approx(longest)
 
 
@@ -207,7 +209,7 @@
 def test_the_longest_wait_falls_without_a_step(unread: int) -> None:
     choice = Choice(engine('e0'), unread, 0)
     one = wanted(tokens=9000)
-    waits = [longest_queue(one, choice, step / 100) for step in range(800)]
+    waits = [max_queue_seconds(one, choice, step / 100) for step in range(800)]
     falls = [before - after for before, after in zip(waits, waits[1:], strict=False)]
     assert min(falls) >= 0
     assert max(falls) < one.goal / 20
@@ -218,7 +220,7 @@
     registry = Registry(clock, Signal())
     registry.merge(engine('left', Phase.leaving), 'test')
     registry.merge(engine('tried'), 'test')
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     tried = frozenset((UpstreamName('tried'),))
     again = replace(wanted(), slots=0, tried=tried)
     assert placement.choose(again) is None
@@ -243,11 +245,11 @@
     scheduler = scheduler_of(FakeClock(), 1)
     offer(scheduler, 4000)
     for name in 'abcd':
-        scheduler.shares.recall(account(name), 4000)
+        scheduler.shares.count_elsewhere(account(name), 4000)
     scheduler.decide(wanted('a'))
     scheduler.place(('box', 1), wanted('c', tokens=100_000))
     assert scheduler.decide(wanted('b')) is Refusal.overloaded
-    assert scheduler.shares.standing(account('a')) <= 1
+    assert scheduler.shares.share_used(account('a')) <= 1
 
 
 @pytest.mark.parametrize(
@@ -268,7 +270,7 @@
         scheduler.shares.ask(wanted())
     for _ in range(served):
         scheduler.shares.grant(wanted())
-    assert scheduler.shares.standing(account('ann')) == pytest.approx(1, abs=0.34)
+    assert scheduler.shares.share_used(account('ann')) == pytest.approx(1, abs=0.34)
 
 
 @pytest.mark.parametrize(('alike', 'served'), [(1, 16), (4, 4)])
@@ -280,15 +282,15 @@
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, 4000)
-    scheduler.shares.alike = alike
-    scheduler.placement.books.alike = alike
+    scheduler.shares.assumed_boxes = alike
+    scheduler.placement.open_work.assumed_boxes = alike
     for _ in range(100):
         clock.seconds += 0.04
         scheduler.shares.ask(wanted())
     for number in range(served):
         scheduler.place(('box', number), replace(wanted(), resumes=True))
-    assert scheduler.shares.standing(account('ann')) == pytest.approx(1, abs=0.1)
-    assert scheduler.placement.books.running(UpstreamName('e0')) == 16
+    assert scheduler.shares.share_used(account('ann')) == pytest.approx(1, abs=0.1)
+    assert scheduler.placement.open_work.running(UpstreamName('e0')) == 16
 
 
 def test_nothing_is_counted_without_a_document() -> None:
@@ -311,14 +313,14 @@
     sent_between: list[int],
     unread: int,
 ) -> None:
-    memory = PrefixMemory(FakeClock())
-    memory.size = 4000
+    prefix_cache = PrefixCacheModel(FakeClock())
+    prefix_cache.size = 4000
     first = Prompt(1000, 0, (Part(PartId('first'), 1000),))
-    memory.note(UpstreamName('e0'), first)
+    prefix_cache.record_prompt(UpstreamName('e0'), first)
     for number, tokens in enumerate(sent_between):
         between = Part(PartId(str(number)), tokens)
-        memory.note(UpstreamName('e0'), Prompt(tokens, 0, (between,)))
-    assert memory.uncached(UpstreamName('e0'), first) == unread
+        prefix_cache.record_prompt(UpstreamName('e0'), Prompt(tokens, 0, (between,)))
+    assert prefix_cache.uncached(UpstreamName('e0'), first) == unread
 
 
 def test_a_prompt_that_was_never_sent_is_not_cached_right_after_boot() -> None:
@@ -326,7 +328,7 @@
     # counted as sent then.
     clock = FakeClock()
     clock.seconds = 5.0
-    memory = PrefixMemory(clock)
-    memory.note(UpstreamName('e0'), prompt(subject='other'))
+    prefix_cache = PrefixCacheModel(clock)
+    prefix_cache.record_prompt(UpstreamName('e0'), prompt(subject='other'))
     fresh = Prompt(1000, 0, (Part(PartId('s'), 500), Part(PartId('new'), 500)))
-    assert memory.uncached(UpstreamName('e0'), fresh) == 1000
+    assert prefix_cache.uncached(UpstreamName('e0'), fresh) == 1000
--- a/tests/fuzz/test_scheduler_fuzz.py
+++ b/tests/fuzz/test_scheduler_fuzz.py
@@ -55,7 +55,7 @@
     def grant(self, seconds: float) -> None:
         """Let time pass and grant."""
         self.now += seconds
-        self.scheduler.rooms.refresh_all(self.now)
+        self.scheduler.capacity.refresh_all(self.now)
         for placed in self.scheduler.grants(self.now):
             key = placed.ticket.key
             assert key in self.waiting, 'granted twice or never asked for'
@@ -87,7 +87,7 @@
     @rule(life=LIVES)
     def lose_router(self, life: str) -> None:
         """Lose a router with all it holds."""
-        self.scheduler.drop_attendant(Incarnation(life), self.now)
+        self.scheduler.drop_router(Incarnation(life), self.now)
         self.waiting = {key for key in self.waiting if key[0] != life}
         self.running = {key: one for key, one in self.running.items() if key[0] != life}
 
@@ -111,7 +111,7 @@
     def no_upstream_is_over_its_slots(self) -> None:
         """Urgent work alone may go beyond, by the overcommit."""
         for name, most in self.slots.items():
-            load = self.scheduler.rooms.loads[name]
+            load = self.scheduler.capacity.loads[name]
             assert len(load.held) <= most + OVERCOMMIT
             expected = {
                 key
