--- a/packages/control/src/hitchdeck_control/raft/membership.py
+++ b/packages/control/src/hitchdeck_control/raft/membership.py
@@ -38,7 +38,7 @@
             members,
         ):
             return
-        raise MembershipError(f'{replica.identity.replica} already belongs to a group')
+        raise MembershipError(f'{replica.identity.replica} is in a group already')
     replica.log.append([Entry(term=_FIRST_TERM, index=1, members=members)])
     replica.log.save_vote(max(_FIRST_TERM, replica.term), replica.log.vote)
     await replica.log.flush()
@@ -125,7 +125,7 @@
         ):
             return
         await asyncio.sleep(_CATCH_UP_POLL_SECONDS)
-    raise MembershipError(f'{newcomer} does not catch up with the log')
+    raise MembershipError(f'{newcomer} does not catch up')
 
 
 async def _commit_membership(replica: Replica, members: list[Member]) -> None:
--- a/packages/core/src/hitchdeck_core/labels.py
+++ b/packages/core/src/hitchdeck_core/labels.py
@@ -139,9 +139,9 @@
 def _check_key(key: str) -> None:
     _, _, name = key.rpartition('/')
     if not _KEY_PATTERN.fullmatch(key) or len(name) > _MAX_NAME_LENGTH:
-        raise SelectorError(f'invalid label key {key!r}')
+        raise SelectorError(f'label key {key!r} is not a label key')
 
 
 def _check_value(key: str, text: str) -> None:
     if not _VALUE_PATTERN.fullmatch(text) or len(text) > _MAX_NAME_LENGTH:
-        raise SelectorError(f'label {key!r} has an invalid value: {text!r}')
+        raise SelectorError(f'label {key!r} has a bad value: {text!r}')
--- a/packages/edge/src/hitchdeck_edge/hub/documents.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents.py
@@ -130,7 +130,7 @@
         replica = self.member.require_leader()
         voters = len(replica.voters())
         if voters < self.member.voters_needed:
-            raise UnavailableError(f'{voters} voters are too few for a safe commit')
+            raise UnavailableError(f'{voters} voters, fewer than are safe')
         return bool(await replica.propose(entry.SerializeToString()))
 
     async def _evacuate(self, order: EvacuationOrder) -> EvacuateReply:
--- a/packages/edge/src/hitchdeck_edge/hub/documents_client.py
+++ b/packages/edge/src/hitchdeck_edge/hub/documents_client.py
@@ -144,7 +144,7 @@
             return True
         reply = await self._call(request, deadline)
         if isinstance(reply, EvacuateReply) and reply.superseded:
-            raise SupersededError(f'an order later than {request} is in force')
+            raise SupersededError(f'a later order than {request} is in force')
         return True if getattr(reply, 'accepted', False) else None
 
     async def _newest_once(self, deadline: float) -> Document | None:
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -54,7 +54,7 @@
     """Raised in place of a run when the ledger has a stored response."""
 
     def __init__(self, response: StoredResponse) -> None:
-        super().__init__('the ledger has a stored response')
+        super().__init__('answered before')
         self.response = response
 
 
@@ -118,7 +118,7 @@
             raise OutcomeUnknownError(
                 _BAD_GATEWAY,
                 'upstream-broken',
-                f'an upstream failed during its response; then: {error.reason}',
+                f'an upstream failed within the answer; then: {error.reason}',
                 error.retry_after,
             ) from error
         raise
@@ -204,9 +204,9 @@
     """Return a granted upstream, or raise if it accepts no new requests now."""
     view = context.fleet.view
     if not context.fleet.lease.is_live():
-        raise GrantLostError('the configuration lease has expired')
+        raise GrantLostError('the configuration lease has run out')
     if not view.may_dispatch(admitted.pool, name):
-        raise GrantLostError(f'{name} is leaving or was removed')
+        raise GrantLostError(f'{name} is leaving or gone')
     check_accepting(context, name)
     return view.upstreams[name]
 
--- a/packages/router/src/hitchdeck_router/dispatch/backpressure.py
+++ b/packages/router/src/hitchdeck_router/dispatch/backpressure.py
@@ -29,7 +29,7 @@
         raise NotRunError(
             _UNAVAILABLE,
             'upstreams-paused',
-            f'every upstream of pool {pool} requested a backoff',
+            f'every upstream of pool {pool} wants a pause',
             left,
         )
 
@@ -39,4 +39,4 @@
     # Entry boxes without this check sent up to 37 requests to one upstream within
     # the 3 s of its backoff.
     if not context.backpressure.accepts_requests(name):
-        raise GrantLostError(f'{name} requested a backoff')
+        raise GrantLostError(f'{name} wants a pause')
--- a/packages/router/src/hitchdeck_router/dispatch/calls.py
+++ b/packages/router/src/hitchdeck_router/dispatch/calls.py
@@ -136,7 +136,7 @@
         """Wait for the status and headers."""
         received = await self._next()
         if not isinstance(received, ResponseHead):
-            raise UpstreamBrokenError('connection closed before the response')
+            raise UpstreamBrokenError('connection closed before an answer')
         return received
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -148,7 +148,7 @@
                 continue
             if isinstance(received, _ResponseEnd) and received.complete:
                 return
-            raise UpstreamBrokenError('connection closed during the response')
+            raise UpstreamBrokenError('connection closed within the answer')
 
     async def read_body(self) -> bytes:
         """Read and return the complete body."""
@@ -172,7 +172,7 @@
             async with asyncio.timeout(self.read_timeout):
                 return await self.receiver.queue.get()
         except TimeoutError as error:
-            raise UpstreamBrokenError(f'no data for {self.read_timeout} s') from error
+            raise UpstreamBrokenError(f'silent for {self.read_timeout} s') from error
 
 
 async def open_call(address: Address, request: CallRequest) -> UpstreamCall:
--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -172,7 +172,7 @@
     """Raise ``UpstreamBrokenError`` if a response belongs to another request."""
     echoed = head.headers.get(REQUEST_ID_HEADER, admitted.request)
     if echoed != admitted.request:
-        raise UpstreamBrokenError(f'response to {echoed}, not to {admitted.request}')
+        raise UpstreamBrokenError(f'answer to {echoed}, not {admitted.request}')
 
 
 async def _check_status(head: ResponseHead, call: UpstreamCall) -> None:
@@ -224,10 +224,10 @@
         chunk = json.loads(event)
         engine_id = chunk['id']
     except (ValueError, KeyError, TypeError) as error:
-        raise UpstreamBrokenError(f'malformed chunk: {error}') from error
+        raise UpstreamBrokenError(f'chunk is not a chunk: {error}') from error
     if attempt.engine_id and engine_id != attempt.engine_id:
         raise UpstreamBrokenError(
-            f'chunk of completion {engine_id} in completion {attempt.engine_id}'
+            f'chunk of {engine_id} in {attempt.engine_id}'
         )
     attempt.engine_id = engine_id
     return chunk  # type: ignore[no-any-return]
--- a/packages/router/src/hitchdeck_router/dispatch/ledger.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ledger.py
@@ -106,7 +106,7 @@
         raise OutcomeUnknownError(
             _CONFLICT,
             'in-progress',
-            'another request with this key was dispatched and has not finished',
+            'another request with this key was sent on and has not ended',
             _RETRY_AFTER_SECONDS,
         )
 
--- a/packages/router/src/hitchdeck_router/dispatch/quarantine.py
+++ b/packages/router/src/hitchdeck_router/dispatch/quarantine.py
@@ -45,7 +45,7 @@
         raise NotRunError(
             _UNAVAILABLE,
             'quarantined',
-            'upstreams crashed while they ran this request',
+            'upstreams ended under this request',
             QUARANTINE_SECONDS,
         )
 
--- a/packages/router/src/hitchdeck_router/dispatch/sse.py
+++ b/packages/router/src/hitchdeck_router/dispatch/sse.py
@@ -21,7 +21,7 @@
         """Yield the data of each event that is completed by the chunk."""
         *lines, self.buffer = (self.buffer + chunk).split(b'\n')
         if len(self.buffer) > _MAX_EVENT_BYTES:
-            raise EventTooLongError(f'event is larger than {_MAX_EVENT_BYTES} bytes')
+            raise EventTooLongError(f'event over {_MAX_EVENT_BYTES} bytes')
         for line in lines:
             if line.startswith(_DATA_FIELD):
                 yield line[len(_DATA_FIELD) :].strip()
--- a/packages/router/src/hitchdeck_router/errors.py
+++ b/packages/router/src/hitchdeck_router/errors.py
@@ -55,7 +55,7 @@
     """Raised when an upstream refused a request with an error status."""
 
     def __init__(self, status: int, body: bytes) -> None:
-        super().__init__(f'upstream responded with status {status}')
+        super().__init__(f'upstream answered {status}')
         self.status = status
         self.body = body
 
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -139,7 +139,7 @@
             raise NotRunError(
                 _UNAVAILABLE,
                 'no-configuration-lease',
-                'this router has lost contact with the control group',
+                'this router is cut off from the control group',
                 _RETRY_AFTER_SECONDS,
             )
 
@@ -158,7 +158,7 @@
 
     def respond_internal_error(self) -> None:
         """Send an internal error, for which the outcome is unknown."""
-        error = RouterError(_INTERNAL_ERROR, 'internal', 'internal error in the router')
+        error = RouterError(_INTERNAL_ERROR, 'internal', 'the router failed')
         error.ran = 'unknown'
         self.refuse(error)
 
@@ -203,7 +203,7 @@
     def _too_large(self) -> NotRunError:
         limit = self.context.settings.body_limit
         return NotRunError(
-            _TOO_LARGE, 'too-large', f'body is larger than {limit} bytes'
+            _TOO_LARGE, 'too-large', f'body over {limit} bytes'
         )
 
 
--- a/packages/router/src/hitchdeck_router/serving/replay.py
+++ b/packages/router/src/hitchdeck_router/serving/replay.py
@@ -27,11 +27,11 @@
         raise OutcomeUnknownError(
             _CONFLICT,
             'outcome-unknown',
-            'a request with this key was dispatched; its outcome is unknown',
+            'a request with this key was sent on; how it ended is not known',
         )
     if not stored.body and stored.content_type:
         raise ResponseNotStoredError(
             _GONE,
             'answer-not-kept',
-            'the request ran; its response was too large to store',
+            'the request ran; its answer was too large to keep',
         )
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -188,5 +188,5 @@
     raise NotRunError(
         _BAD_REQUEST,
         'key-needed',
-        f'pool {admitted.pool} is not repeatable and requires {admission.KEY_HEADER}',
+        f'pool {admitted.pool} is not repeatable: send {admission.KEY_HEADER}',
     )
