--- a/bench/lab/play.py
+++ b/bench/lab/play.py
@@ -22,7 +22,7 @@
 from hitchdeck_edge.model.document import Document, DocumentVersion, Limits, Pool
 from hitchdeck_edge.model.document import Engine as EngineLimits
 from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
@@ -174,9 +174,9 @@
             wait = min(retry_after, left / PATIENT_PART)
             self.timeline.after(wait, lambda: self._come(one))
 
-    def _wanted(self, one: Asked, tried: frozenset[UpstreamName]) -> Wanted:
+    def _wanted(self, one: Asked, tried: frozenset[UpstreamName]) -> PlacementQuery:
         parts = tuple(Part(PartId(part), tokens) for part, tokens in one.parts)
-        return Wanted(
+        return PlacementQuery(
             request=RequestId(''),
             pool=POOL,
             domain=DOMAIN,
--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -28,7 +28,7 @@
     Limits,
     Pool,
 )
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
@@ -80,7 +80,7 @@
     return Scheduler(documents, registry, Shares(4, boot_seconds), boot_seconds)
 
 
-def wanted(chance: random.Random, accounts: int, number: int) -> Wanted:
+def wanted(chance: random.Random, accounts: int, number: int) -> PlacementQuery:
     """Return a request: a part of few, one of its account, one of its own."""
     account = chance.randrange(accounts)
     parts = (
@@ -88,7 +88,7 @@
         Part(PartId(f'account{account}-{chance.randrange(5)}'), 3780),
         Part(PartId(f'own{number}'), 2890),
     )
-    return Wanted(
+    return PlacementQuery(
         request=RequestId(str(number)),
         pool=POOL,
         domain=str(account % DOMAINS),
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -223,7 +223,7 @@
         attempt.ticket.start()
         self.link.start(attempt.number)
         if busy_part() <= SHORT_OF_TIME:
-            self.placement.measure(attempt.ticket, passage.wanted(self.domain))
+            self.placement.measure(attempt.ticket, passage.placement_query(self.domain))
 
     async def _own_head(
         self,
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -115,8 +115,8 @@
         document = self.scheduler.documents.document
         pool = document.pools.get(PoolName(message.pool)) if document else None
         slots = pool.engine.slots if pool and pool.engine else 1
-        wanted = decode_wanted(message, box.domain, slots)
-        decision = self.scheduler.place((box.name, int(message.id)), wanted)
+        query = decode_wanted(message, box.domain, slots)
+        decision = self.scheduler.place((box.name, int(message.id)), query)
         return encode_decision(int(message.id), decision)
 
 
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -27,7 +27,7 @@
     decode_refusal,
     encode_wanted,
 )
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.registry import Registry
@@ -95,14 +95,14 @@
         self.last_ticket = 0
         self.unanswered = 0
 
-    async def place(self, wanted: Wanted) -> Choice | Refusal | None:
+    async def place(self, query: PlacementQuery) -> Choice | Refusal | None:
         """Return what the scheduler decides, or ``None`` if it does not answer."""
         if self.scheduler is None:
             return None
         ticket = self._new_ticket()
         answer = asyncio.get_running_loop().create_future()
         self.waiting[ticket] = answer
-        self.outbox.ask(encode_wanted(ticket, wanted))
+        self.outbox.ask(encode_wanted(ticket, query))
         try:
             await self._wait_for(answer)
         finally:
--- a/packages/edge/src/hitchdeck_edge/links/placing_messages.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing_messages.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.wire.spread_pb2 import Decision, Placed, PromptPart
 from hitchdeck_core.wire.spread_pb2 import Wanted as WantedMessage
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Upstream
 
@@ -21,34 +21,34 @@
 )
 
 
-def encode_wanted(ticket: int, wanted: Wanted) -> WantedMessage:
+def encode_wanted(ticket: int, query: PlacementQuery) -> WantedMessage:
     """Return the message that asks for an upstream."""
     message = WantedMessage(
         id=ticket,
-        pool=wanted.pool,
-        account=wanted.account or '',
-        goal_ms=int(wanted.goal * _MILLISECONDS),
-        tried=wanted.tried,
-        avoid=wanted.avoid,
-        areas=wanted.areas,
-        body_bytes=wanted.body_bytes,
-        resumes=wanted.resumes,
-        request=wanted.request,
+        pool=query.pool,
+        account=query.account or '',
+        goal_ms=int(query.goal * _MILLISECONDS),
+        tried=query.tried,
+        avoid=query.avoid,
+        areas=query.areas,
+        body_bytes=query.body_bytes,
+        resumes=query.resumes,
+        request=query.request,
     )
-    if wanted.prompt is not None:
-        message.tokens = wanted.prompt.tokens
-        message.expected_made = wanted.prompt.expected_made
+    if query.prompt is not None:
+        message.tokens = query.prompt.tokens
+        message.expected_made = query.prompt.expected_made
         message.parts.extend(
             PromptPart(part=part.part, tokens=part.tokens)
-            for part in wanted.prompt.parts
+            for part in query.prompt.parts
         )
     return message
 
 
-def decode_wanted(message: WantedMessage, domain: str, slots: int) -> Wanted:
+def decode_wanted(message: WantedMessage, domain: str, slots: int) -> PlacementQuery:
     """Return what a message asks for, on behalf of a box in a domain."""
     parts = tuple(Part(PartId(one.part), int(one.tokens)) for one in message.parts)
-    return Wanted(
+    return PlacementQuery(
         request=RequestId(message.request),
         pool=PoolName(message.pool),
         domain=domain,
--- a/packages/edge/src/hitchdeck_edge/model/passage.py
+++ b/packages/edge/src/hitchdeck_edge/model/passage.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.quarantine.fingerprints import Fingerprint, fingerprint_of
 from hitchdeck_edge.model.calls import Call
 from hitchdeck_edge.model.document import DocumentVersion, Pool, Repeat, Route
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 
 THIS_BOX = 'this box'
 """Who decided on a request for which no scheduler answered."""
@@ -65,9 +65,9 @@
             self.body,
         )
 
-    def wanted(self, domain: str) -> Wanted:
+    def placement_query(self, domain: str) -> PlacementQuery:
         """Return what this request asks of a placement."""
-        return Wanted(
+        return PlacementQuery(
             request=self.call.request,
             pool=self.pool.name,
             domain=domain,
--- a/packages/edge/src/hitchdeck_edge/model/placing.py
+++ b/packages/edge/src/hitchdeck_edge/model/placing.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlacementQuery:
     """A request that wants an upstream.
 
     Attributes
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.ids import PoolName
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.passage import THIS_BOX, Passage
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 
@@ -36,29 +36,29 @@
 
     async def choose(self, passage: Passage) -> Choice | Refusal:
         """Return the upstream to send a request to, or why it is refused."""
-        wanted = passage.wanted(self.domain)
+        query = passage.placement_query(self.domain)
         closed = self.backpressure.closed()
         if closed:
-            wanted = replace(wanted, avoid=frozenset(closed))
-            if not self.local.placement.eligible(wanted):
+            query = replace(query, avoid=frozenset(closed))
+            if not self.local.placement.eligible(query):
                 return Refusal.no_upstream
-        if not wanted.slots or wanted.prompt is None:
-            return self._choose_plain(wanted)
+        if not query.slots or query.prompt is None:
+            return self._choose_plain(query)
         scheduler = self.link.scheduler
         asks = self.local.mechanisms.scheduler
-        decision = await self.link.place(wanted) if asks else None
+        decision = await self.link.place(query) if asks else None
         if decision is None:
             passage.decided_by = THIS_BOX
-            return self.local.decide(wanted)
+            return self.local.decide(query)
         passage.decided_by = scheduler or ''
         # Count as if this box had decided: it may soon have to.
-        self.local.shares.ask(wanted)
+        self.local.shares.ask(query)
         if isinstance(decision, Choice):
-            self.local.shares.grant(wanted)
+            self.local.shares.grant(query)
         return decision
 
-    def _choose_plain(self, wanted: Wanted) -> Choice | Refusal:
-        choice = self.local.placement.choose(wanted)
+    def _choose_plain(self, query: PlacementQuery) -> Choice | Refusal:
+        choice = self.local.placement.choose(query)
         if choice is None:
             return Refusal.no_upstream
         self.local.placement.cold_budget.spend(choice.upstream)
--- a/packages/edge/src/hitchdeck_edge/scheduling/patience.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/patience.py
@@ -8,7 +8,7 @@
 """
 
 from hitchdeck_edge.model.calls import Prompt
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.scheduling.shares import weight_of
 
 FREE_PART = 0.8
@@ -41,7 +41,7 @@
 
 
 def longest_queue(
-    wanted: Wanted,
+    query: PlacementQuery,
     choice: Choice,
     standing: float,
     *,
@@ -58,15 +58,15 @@
     yielding
         Whether it matters how much the engine must read.
     """
-    longest = max(wanted.goal * LATE_PART, wanted.goal - choice.reading)
-    if wanted.prompt is None or standing <= FREE_PART:
+    longest = max(query.goal * LATE_PART, query.goal - choice.reading)
+    if query.prompt is None or standing <= FREE_PART:
         return longest
     longest *= (FREE_PART / standing) ** YIELDING_POWER
     if not yielding:
         return float(longest)
     # Just beyond the share the yield hardly counts, so that there is no step.
     beyond = min(1, max(0, standing - 1))
-    return float(longest * _yield_part(wanted.prompt, choice.tokens) ** beyond)
+    return float(longest * _yield_part(query.prompt, choice.tokens) ** beyond)
 
 
 def _yield_part(prompt: Prompt, unread: int) -> float:
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -15,7 +15,7 @@
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_edge.model.calls import Prompt
 from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Upstream
 from hitchdeck_edge.scheduling.books import Books, Ticket
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
@@ -98,48 +98,48 @@
         self.memory = PrefixMemory(books.now)
         self.pace = Pace()
 
-    def choose(self, wanted: Wanted) -> Choice | None:
+    def choose(self, query: PlacementQuery) -> Choice | None:
         """Return the best upstream that was not tried yet, if there is one."""
-        candidates = self.candidates(wanted)
+        candidates = self.candidates(query)
         if not candidates:
             return None
-        if not wanted.slots or wanted.prompt is None:
-            best = min(candidates, key=lambda one: self._plain_cost(one, wanted))
+        if not query.slots or query.prompt is None:
+            best = min(candidates, key=lambda one: self._plain_cost(one, query))
             return Choice(best, 0, 0)
-        return self._choose_engine(wanted, wanted.prompt, candidates)
+        return self._choose_engine(query, query.prompt, candidates)
 
-    def eligible(self, wanted: Wanted) -> list[Upstream]:
+    def eligible(self, query: PlacementQuery) -> list[Upstream]:
         """Return the upstreams that were not tried and are not ruled out."""
-        serving = self.registry.serving(wanted.pool)
-        if wanted.tried or wanted.avoid:
-            passed_over = wanted.tried | wanted.avoid
+        serving = self.registry.serving(query.pool)
+        if query.tried or query.avoid:
+            passed_over = query.tried | query.avoid
             serving = [one for one in serving if one.name not in passed_over]
-        if wanted.areas:
-            serving = [one for one in serving if self._is_in(one, wanted.areas)]
+        if query.areas:
+            serving = [one for one in serving if self._is_in(one, query.areas)]
         return serving
 
-    def candidates(self, wanted: Wanted) -> list[Upstream]:
+    def candidates(self, query: PlacementQuery) -> list[Upstream]:
         """Return those that may get a request now, suspected ones only if need be."""
-        serving = self.cold_budget.usable(self.eligible(wanted))
+        serving = self.cold_budget.usable(self.eligible(query))
         if not self.mechanisms.ejection:
             return serving
         ejected = self.health.ejected()
         trusted = [one for one in serving if not one.silent and one.name not in ejected]
         return trusted or serving
 
-    def measure(self, ticket: Ticket, wanted: Wanted) -> None:
+    def measure(self, ticket: Ticket, query: PlacementQuery) -> None:
         """Learn from how long a first event took."""
         seconds = self.books.now() - ticket.opened
-        pace = self.pace.of(wanted.pool)
-        self.pace.measure(wanted.pool, ticket.expected, seconds)
-        expected = max(ticket.expected / pace, wanted.goal / 4)
+        pace = self.pace.of(query.pool)
+        self.pace.measure(query.pool, ticket.expected, seconds)
+        expected = max(ticket.expected / pace, query.goal / 4)
         ratio = min(MOST_SLOWNESS, max(1, seconds / expected))
         self.health.measure_slowness(ticket.upstream, ratio)
 
-    def measure_run(self, ticket: Ticket, wanted: Wanted) -> None:
+    def measure_run(self, ticket: Ticket, query: PlacementQuery) -> None:
         """Learn from how long a request held its place."""
         if not ticket.reading:
-            self.pace.measure_run(wanted.pool, self.books.now() - ticket.opened)
+            self.pace.measure_run(query.pool, self.books.now() - ticket.opened)
 
     def forget_gone(self) -> None:
         """Drop what was learned of upstreams that are gone.
@@ -152,50 +152,48 @@
         self.books.keep(present)
         self.health.keep(present)
 
-    def soonest(self, wanted: Wanted) -> Choice | None:
+    def soonest(self, query: PlacementQuery) -> Choice | None:
         """Return the engine with a free place that makes the first token soonest.
 
         It may have to read again what another one has cached.
         """
-        prompt = wanted.prompt
+        prompt = query.prompt
         if prompt is None:
-            return self.choose(wanted)
-        free = [
-            one for one in self.candidates(wanted) if not self._is_full(one, wanted)
-        ]
+            return self.choose(query)
+        free = [one for one in self.candidates(query) if not self._is_full(one, query)]
         choices = [
-            self._choice(one, wanted, tokens)
+            self._choice(one, query, tokens)
             for one, tokens in zip(free, self._unread_at(free, prompt), strict=True)
         ]
         return min(choices, key=_begin, default=None)
 
     def _choose_engine(
         self,
-        wanted: Wanted,
+        query: PlacementQuery,
         prompt: Prompt,
         candidates: list[Upstream],
     ) -> Choice:
         unread = self._unread_at(candidates, prompt)
-        holder = self._holder(prompt, self._nearby(candidates, wanted), min(unread))
+        holder = self._holder(prompt, self._nearby(candidates, query), min(unread))
         own = prompt.parts[-1].tokens if prompt.parts else 0
         weighed = [
-            self._weigh(one, prompt, wanted, min(own, tokens))
+            self._weigh(one, prompt, query, min(own, tokens))
             if one.name == holder
-            else self._weigh(one, prompt, wanted, tokens)
+            else self._weigh(one, prompt, query, tokens)
             for one, tokens in zip(candidates, unread, strict=True)
         ]
         _, tokens, best = min(weighed, key=lambda entry: entry[0])
-        return self._choice(best, wanted, tokens)
+        return self._choice(best, query, tokens)
 
     def _choice(
         self,
         upstream: Upstream,
-        wanted: Wanted,
+        query: PlacementQuery,
         tokens: int,
     ) -> Choice:
-        seconds = self._slowness(upstream) / self.pace.of(wanted.pool)
+        seconds = self._slowness(upstream) / self.pace.of(query.pool)
         # What waits to be read holds places too, so the waits do not add up.
-        place = self._wait_for_place(upstream.name, wanted)
+        place = self._wait_for_place(upstream.name, query)
         return Choice(
             upstream,
             tokens,
@@ -203,11 +201,13 @@
             reading=tokens * seconds,
         )
 
-    def _nearby(self, candidates: list[Upstream], wanted: Wanted) -> list[Upstream]:
+    def _nearby(
+        self, candidates: list[Upstream], query: PlacementQuery
+    ) -> list[Upstream]:
         """Return the engines of the request's domain, all where it has none."""
         if not self.mechanisms.near_first:
             return candidates
-        return [one for one in candidates if one.domain == wanted.domain] or candidates
+        return [one for one in candidates if one.domain == query.domain] or candidates
 
     def _holder(
         self,
@@ -232,7 +232,7 @@
         self,
         upstream: Upstream,
         prompt: Prompt,
-        wanted: Wanted,
+        query: PlacementQuery,
         tokens: int,
     ) -> tuple[float, int, Upstream]:
         again = max(0, tokens - prompt.parts[-1].tokens) if prompt.parts else 0
@@ -241,34 +241,34 @@
         cost = float(waiting + RUNNING_TOKENS * running + tokens)
         if self.mechanisms.reading_again:
             cost += AGAIN_WEIGHT * again
-        if running >= wanted.slots:
+        if running >= query.slots:
             cost += FULL_TOKENS
         cost *= self._slowness(upstream)
-        if self.mechanisms.near_first and upstream.domain == wanted.domain:
-            cost -= self._near_tokens(wanted, prompt, self._wait(upstream.name))
+        if self.mechanisms.near_first and upstream.domain == query.domain:
+            cost -= self._near_tokens(query, prompt, self._wait(upstream.name))
         return cost, tokens, upstream
 
-    def _near_tokens(self, wanted: Wanted, prompt: Prompt, wait: int) -> float:
+    def _near_tokens(self, query: PlacementQuery, prompt: Prompt, wait: int) -> float:
         """Return what an engine nearby with some tokens before it has in its favour."""
-        limit = NEAR_WAIT_PART * wanted.goal * self.pace.of(wanted.pool)
+        limit = NEAR_WAIT_PART * query.goal * self.pace.of(query.pool)
         idle_part = max(0, 1 - wait / max(1, limit))
-        crossing = wanted.body_bytes + MADE_BYTES * prompt.expected_made
+        crossing = query.body_bytes + MADE_BYTES * prompt.expected_made
         return NEAR_TOKENS + idle_part * FAR_TOKENS_PER_BYTE * crossing
 
     def _wait(self, name: UpstreamName) -> int:
         """Return what is before a new request at an engine, in tokens."""
         return self.books.waiting(name) + RUNNING_TOKENS * self.books.running(name)
 
-    def _wait_for_place(self, name: UpstreamName, wanted: Wanted) -> float:
+    def _wait_for_place(self, name: UpstreamName, query: PlacementQuery) -> float:
         """Return the expected seconds until an engine has a place.
 
         Its places become free one after the other over the time that a
         request holds one.
         """
-        ahead = self.books.running(name) - wanted.slots + 1
+        ahead = self.books.running(name) - query.slots + 1
         if ahead <= 0 or not self.mechanisms.places:
             return 0
-        return ahead * self.pace.run_of(wanted.pool) / wanted.slots
+        return ahead * self.pace.run_of(query.pool) / query.slots
 
     def _unread_at(self, upstreams: list[Upstream], prompt: Prompt) -> list[int]:
         """Return what of a prompt each engine must read, as far as known."""
@@ -284,14 +284,14 @@
             return 1
         return self.health.slowness(upstream.name)
 
-    def _is_full(self, upstream: Upstream, wanted: Wanted) -> bool:
-        return self.books.running(upstream.name) >= wanted.slots
+    def _is_full(self, upstream: Upstream, query: PlacementQuery) -> bool:
+        return self.books.running(upstream.name) >= query.slots
 
-    def _plain_cost(self, upstream: Upstream, wanted: Wanted) -> float:
+    def _plain_cost(self, upstream: Upstream, query: PlacementQuery) -> float:
         record = self.health.record(upstream.name)
         seconds = max(LEAST_SECONDS, record.seconds)
         doubt = 1 + FAILURE_WEIGHT * record.failure_rate
-        near = upstream.domain == wanted.domain or not self.mechanisms.near_first
+        near = upstream.domain == query.domain or not self.mechanisms.near_first
         far = 1 if near else FAR_FACTOR
         jitter = random.uniform(1, JITTER_FACTOR)
         return (self.books.running(upstream.name) + 1) * seconds * doubt * far * jitter
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -15,7 +15,7 @@
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_edge.model.document import cold_rate
 from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.books import Books, Ticket
 from hitchdeck_edge.scheduling.patience import longest_queue
@@ -36,11 +36,11 @@
 class Open:
     """One request that is open at an engine.
 
-    ``wanted`` is absent where nothing is to be learned of it.
+    ``query`` is absent where nothing is to be learned of it.
     """
 
     ticket: Ticket
-    wanted: Wanted | None
+    query: PlacementQuery | None
 
 
 class Scheduler:
@@ -68,28 +68,28 @@
         self.now = now
         self.open: dict[BoxTicket, Open] = {}
 
-    def decide(self, wanted: Wanted) -> Choice | Refusal:
+    def decide(self, query: PlacementQuery) -> Choice | Refusal:
         """Choose an engine, or say why the request is refused."""
-        standing = self._count_asked(wanted)
-        choice = self.placement.choose(wanted)
+        standing = self._count_asked(query)
+        choice = self.placement.choose(query)
         if choice is None:
-            return self._refuse(wanted, Refusal.no_upstream, standing, 0)
-        accepted = self._accepted(wanted, choice, standing)
+            return self._refuse(query, Refusal.no_upstream, standing, 0)
+        accepted = self._accepted(query, choice, standing)
         if accepted is not None:
             self.placement.cold_budget.spend(accepted.upstream)
             if self.documents.document is not None:
-                self.shares.grant(wanted)
+                self.shares.grant(query)
             return accepted
         refusal = Refusal.over_share if standing > 1 else Refusal.overloaded
-        return self._refuse(wanted, refusal, standing, choice.queue)
+        return self._refuse(query, refusal, standing, choice.queue)
 
-    def place(self, key: BoxTicket, wanted: Wanted) -> Choice | Refusal:
+    def place(self, key: BoxTicket, query: PlacementQuery) -> Choice | Refusal:
         """Decide, and enter the request in the books."""
-        decision = self.decide(wanted)
+        decision = self.decide(query)
         if isinstance(decision, Choice):
-            self.enter(key, decision.upstream.name, decision.tokens, wanted)
-            if wanted.prompt is not None:
-                self.placement.memory.note(decision.upstream.name, wanted.prompt)
+            self.enter(key, decision.upstream.name, decision.tokens, query)
+            if query.prompt is not None:
+                self.placement.memory.note(decision.upstream.name, query.prompt)
         return decision
 
     def enter(
@@ -97,12 +97,12 @@
         key: BoxTicket,
         upstream: UpstreamName,
         unread: int,
-        wanted: Wanted | None = None,
+        query: PlacementQuery | None = None,
     ) -> None:
         """Enter a request that is open at an engine."""
         self.end(key)
         ticket = Ticket(self.placement.books, upstream, unread)
-        self.open[key] = Open(ticket, wanted)
+        self.open[key] = Open(ticket, query)
 
     def start(self, key: BoxTicket, *, learn: bool = True) -> None:
         """Note the first event of a request; ``learn`` of its engine by it."""
@@ -111,17 +111,17 @@
             return
         known.ticket.start()
         if not learn:
-            known.wanted = None
-        if known.wanted is not None:
-            self.placement.measure(known.ticket, known.wanted)
+            known.query = None
+        if known.query is not None:
+            self.placement.measure(known.ticket, known.query)
 
     def end(self, key: BoxTicket) -> None:
         """Note the end of a request."""
         known = self.open.pop(key, None)
         if known is None:
             return
-        if known.wanted is not None:
-            self.placement.measure_run(known.ticket, known.wanted)
+        if known.query is not None:
+            self.placement.measure_run(known.ticket, known.query)
         known.ticket.close()
 
     def leave(self, box: str) -> None:
@@ -141,7 +141,7 @@
 
     def _accepted(
         self,
-        wanted: Wanted,
+        query: PlacementQuery,
         choice: Choice,
         standing: float,
     ) -> Choice | None:
@@ -151,69 +151,69 @@
         it has cached.  Rather than refuse a request, it goes to another domain; within
         its share, another engine reads again what is cached.
         """
-        if wanted.resumes or self._begins_in_time(wanted, choice, standing):
+        if query.resumes or self._begins_in_time(query, choice, standing):
             return choice
         if not self.mechanisms.another_engine:
             return None
-        far = self._choose_far(wanted, choice)
-        if far is not None and self._begins_in_time(wanted, far, standing):
+        far = self._choose_far(query, choice)
+        if far is not None and self._begins_in_time(query, far, standing):
             return far
         if standing > 1:
             return None
-        soonest = self.placement.soonest(wanted)
-        if soonest is None or not self._begins_in_time(wanted, soonest, standing):
+        soonest = self.placement.soonest(query)
+        if soonest is None or not self._begins_in_time(query, soonest, standing):
             return None
         return soonest
 
-    def _choose_far(self, wanted: Wanted, choice: Choice) -> Choice | None:
+    def _choose_far(self, query: PlacementQuery, choice: Choice) -> Choice | None:
         """Return the best engine of another domain, if only nearness ruled it out."""
-        far = self.placement.choose(replace(wanted, domain=''))
+        far = self.placement.choose(replace(query, domain=''))
         if far is None or far.upstream.domain == choice.upstream.domain:
             return None
         return far
 
     def _begins_in_time(
         self,
-        wanted: Wanted,
+        query: PlacementQuery,
         choice: Choice,
         standing: float,
     ) -> bool:
         yielding = self.mechanisms.yielding
-        longest = longest_queue(wanted, choice, standing, yielding=yielding)
+        longest = longest_queue(query, choice, standing, yielding=yielding)
         return choice.queue <= longest
 
     def _refuse(
         self,
-        wanted: Wanted,
+        query: PlacementQuery,
         refusal: Refusal,
         standing: float,
         queue: float,
     ) -> Refusal:
         logs.info(
             'refused',
-            request=wanted.request,
-            account=wanted.account,
+            request=query.request,
+            account=query.account,
             reason=refusal.name,
             standing=round(standing, 3),
             queue=round(queue, 3),
-            goal=wanted.goal,
+            goal=query.goal,
             version=self.documents.version,
         )
         return refusal
 
-    def _count_asked(self, wanted: Wanted) -> float:
+    def _count_asked(self, query: PlacementQuery) -> float:
         """Count a request; return what its account has had of its share."""
         document = self.documents.document
-        if document is None or wanted.account is None or wanted.prompt is None:
+        if document is None or query.account is None or query.prompt is None:
             return 0
         self.shares.capacity = document.limits.tokens_per_second
-        pool = document.pools.get(wanted.pool)
+        pool = document.pools.get(query.pool)
         if pool is not None and pool.engine is not None:
             self.placement.memory.size = pool.engine.memory_tokens
-        self.shares.ask(wanted)
+        self.shares.ask(query)
         if not self.mechanisms.shares:
             return 0
-        return self.shares.standing(wanted.account)
+        return self.shares.standing(query.account)
 
 
 def new_scheduler(
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -14,7 +14,7 @@
 from hitchdeck_core.ids import AccountName
 from hitchdeck_core.wire.spread_pb2 import Demand
 from hitchdeck_edge.model.calls import Prompt
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.state.tallies import Tally
 
 MADE_WEIGHT = 2
@@ -98,14 +98,14 @@
         self.alike = 1
         self.began = now()
 
-    def ask(self, wanted: Wanted) -> None:
+    def ask(self, query: PlacementQuery) -> None:
         """Count a request."""
         self._note_span()
-        _count(self.asked, wanted)
+        _count(self.asked, query)
 
-    def grant(self, wanted: Wanted) -> None:
+    def grant(self, query: PlacementQuery) -> None:
         """Count a request that is let through."""
-        _count(self.granted, wanted)
+        _count(self.granted, query)
 
     def recall(self, account: AccountName, tokens: int) -> None:
         """Count what was asked for elsewhere, as if it were asked now.
@@ -173,15 +173,15 @@
         return min(stated, self.granted.total * asked / max(1, decided))
 
 
-def _count(count: WindowCount, wanted: Wanted) -> None:
+def _count(count: WindowCount, query: PlacementQuery) -> None:
     """Count a generation; what has no account or no prompt has no share.
 
     An attempt after one that failed belongs to a request that was counted.
     """
-    if wanted.tried:
+    if query.tried:
         return
-    if wanted.account is not None and wanted.prompt is not None:
-        count.add(wanted.account, weight_of(wanted.prompt))
+    if query.account is not None and query.prompt is not None:
+        count.add(query.account, weight_of(query.prompt))
 
 
 def weight_of(prompt: Prompt) -> int:
--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -16,7 +16,7 @@
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 from hitchdeck_edge.model.document import DocumentVersion
 from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
@@ -82,8 +82,8 @@
     return Prompt(tokens, 0, (shared, Part(PartId('own'), tokens - tokens // 2)))
 
 
-def wanted(name: str = 'ann', subject: str = 's', tokens: int = 1000) -> Wanted:
-    return Wanted(
+def wanted(name: str = 'ann', subject: str = 's', tokens: int = 1000) -> PlacementQuery:
+    return PlacementQuery(
         request=RequestId('r'),
         pool=POOL,
         domain='a',
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -14,7 +14,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.placing import REMEMBERED_SECONDS, FleetSize
 from hitchdeck_edge.links.records import decode_upstream, encode_upstream
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
@@ -145,7 +145,7 @@
         self.scheduler = 'hub'
         self.choice = choice
 
-    async def place(self, _wanted: Wanted) -> Choice:
+    async def place(self, _wanted: PlacementQuery) -> Choice:
         return self.choice
 
 
@@ -161,7 +161,7 @@
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
     call = replace(wanted(), avoid=frozenset((UpstreamName('e1'),)))
     assert not local.placement.candidates(call)
-    passage = SimpleNamespace(wanted=lambda _domain: wanted(), decided_by='')
+    passage = SimpleNamespace(placement_query=lambda _domain: wanted(), decided_by='')
     assert await chooser.choose(passage) == choice
 
 
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -7,7 +7,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.mechanisms import Mechanisms
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from tests.common.scheduling import FakeClock, engine, offer, scheduler_of, wanted
@@ -23,7 +23,7 @@
     return scheduler
 
 
-def chosen(scheduler: Scheduler, one: Wanted) -> str:
+def chosen(scheduler: Scheduler, one: PlacementQuery) -> str:
     """Return where a request goes, or why it is refused."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
@@ -31,7 +31,7 @@
     return decision.upstream.name
 
 
-def long_one(scheduler: Scheduler) -> Wanted:
+def long_one(scheduler: Scheduler) -> PlacementQuery:
     """Return a long request whose subject e0 is taken to hold."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
     return next(one for one in subjects if chosen(scheduler, one) == FIRST)
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -6,7 +6,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.scheduling.pace import DEFAULT_PACE
 from hitchdeck_edge.scheduling.placement import NEAR_WAIT_PART
 from hitchdeck_edge.scheduling.scheduler import Scheduler
@@ -33,7 +33,7 @@
     return Scheduler(documents, registry, Shares(4, clock), clock)
 
 
-def place(scheduler: Scheduler, one: Wanted, number: int = 0) -> Choice:
+def place(scheduler: Scheduler, one: PlacementQuery, number: int = 0) -> Choice:
     """Place a request that ends at once, so that no queue grows."""
     decision = scheduler.place(('box', number), one)
     assert isinstance(decision, Choice)
@@ -41,7 +41,7 @@
     return decision
 
 
-def asked(subject: str, domain: str) -> Wanted:
+def asked(subject: str, domain: str) -> PlacementQuery:
     return replace(wanted(subject=subject), domain=domain)
 
 
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.errors import CallError, DocumentError
 from hitchdeck_edge.links.placing_messages import encode_wanted
 from hitchdeck_edge.links.records import encode_upstream
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.state.tallies import Tally
 from hitchdeck_platform.documents import read_document
 from hitchdeck_platform.doors import decode_upstream
@@ -301,7 +301,7 @@
         ],
     )
     assert call.patience is not None
-    wanted = Wanted(
+    wanted = PlacementQuery(
         request=call.request,
         pool=PoolName('s'),
         domain='a',
