--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -8,7 +8,7 @@
 from hitchdeck_edge.dispatch.exchange import Head
 from hitchdeck_edge.model.calls import Header
 from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import AnswerHeaders, Caller
 
@@ -87,9 +87,11 @@
 class Answers:
     """The one final answer to a passage."""
 
-    def __init__(self, dialect: Dialect, passage: Passage, caller: Caller) -> None:
+    def __init__(
+        self, dialect: Dialect, context: RequestContext, caller: Caller
+    ) -> None:
         self.dialect = dialect
-        self.passage = passage
+        self.context = context
         self.caller = caller
         self.outcome = 'open'
 
@@ -111,10 +113,10 @@
         self.outcome = refusal.name
         if self.caller.started:
             self.caller.break_off()
-        elif self.passage.may_have_run:
+        elif self.context.may_have_run:
             self._say(HTTPStatus.BAD_GATEWAY)
         else:
-            request = self.passage.call.request
+            request = self.context.call.request
             refuse(self.dialect, request, self.caller, refusal, retry_after)
 
     def run_out_of_time(self) -> None:
@@ -122,11 +124,11 @@
         self.outcome = Refusal.time_over.name
         if self.caller.started:
             self.caller.break_off()
-        elif self.passage.may_have_run:
+        elif self.context.may_have_run:
             self._say(HTTPStatus.GATEWAY_TIMEOUT)
         else:
             self.give_up(Refusal.time_over)
 
     def _say(self, status: HTTPStatus) -> None:
-        headers = echo_headers(self.dialect, self.passage.call.request)
+        headers = echo_headers(self.dialect, self.context.call.request)
         self.caller.answer_briefly(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -8,7 +8,7 @@
 from hitchdeck_edge.dispatch.answers import Answers
 from hitchdeck_edge.dispatch.exchange import Head
 from hitchdeck_edge.dispatch.relay import Relay
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.books import Ticket
 from hitchdeck_edge.serving.caller import Caller
@@ -65,7 +65,7 @@
 class Service:
     """One request being served: who asked, and what it was answered."""
 
-    passage: Passage
+    context: RequestContext
     caller: Caller
     answers: Answers
     relay: Relay
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -13,7 +13,7 @@
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.dispatch.sender import Sender
 from hitchdeck_edge.model.dialect import Dialect
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
@@ -43,11 +43,11 @@
         self.budget = budget
         self.now = now
 
-    def open(self, passage: Passage, caller: Caller) -> Service:
+    def open(self, context: RequestContext, caller: Caller) -> Service:
         """Return the service of a request, which is counted from now on."""
-        answers = Answers(self.dialect, passage, caller)
-        self.budget.count(passage.pool.name)
-        return Service(passage, caller, answers, Relay(passage, caller))
+        answers = Answers(self.dialect, context, caller)
+        self.budget.count(context.pool.name)
+        return Service(context, caller, answers, Relay(context, caller))
 
     async def serve(self, service: Service) -> None:
         """Answer a request, finally, before its time is over.
@@ -58,20 +58,20 @@
             The caller left; nobody is to be answered.
         """
         try:
-            async with asyncio.timeout(service.passage.ends - self.now()):
+            async with asyncio.timeout(service.context.deadline - self.now()):
                 await self._serve(service)
         except TimeoutError:
             self._doubt(service)
             service.answers.run_out_of_time()
 
     async def _serve(self, service: Service) -> None:
-        passage = service.passage
+        context = service.context
         while True:
-            choice = await self._choose(passage)
+            choice = await self._choose(context)
             if isinstance(choice, Refusal):
                 await self._give_up(service, choice)
                 return
-            passage.tried.add(choice.upstream.name)
+            context.tried.add(choice.upstream.name)
             if not await self.sender.send(service, choice):
                 if service.unreached < UNREACHED_MOST:
                     continue
@@ -85,16 +85,16 @@
                 await self._give_up(service, Refusal.no_attempt_left)
                 return
 
-    async def _choose(self, passage: Passage) -> Choice | Refusal:
+    async def _choose(self, context: RequestContext) -> Choice | Refusal:
         """Return where to send a request, or why not; in time, by the clock.
 
         A box without processor time gets word of its timers late.
         """
         # Ten engines ended one after the other under one content that came again.
-        if self.sender.quarantine.holds(passage.content):
+        if self.sender.quarantine.holds(context.fingerprint):
             return Refusal.quarantined
-        choice = await self.chooser.choose(passage)
-        if self.now() >= passage.ends:
+        choice = await self.chooser.choose(context)
+        if self.now() >= context.deadline:
             if isinstance(choice, Choice):
                 self.chooser.give_back(choice)
             raise TimeoutError
@@ -107,14 +107,14 @@
             self.sender.doubt(service, last)
 
     def _may_repeat(self, service: Service) -> bool:
-        passage = service.passage
-        if passage.sent >= passage.route.attempts:
+        context = service.context
+        if context.sent >= context.route.attempts:
             return False
-        if passage.may_have_run and not passage.repeatable:
+        if context.may_have_run and not context.repeatable:
             return False
-        if service.caller.started and not passage.route.resumable:
+        if service.caller.started and not context.route.resumable:
             return False
-        return self.budget.take(passage.pool.name)
+        return self.budget.take(context.pool.name)
 
     async def _deliver(self, service: Service, attempt: Attempt) -> None:
         if attempt.relayed:
@@ -132,7 +132,7 @@
             await self._deliver(service, last)
             return
         # Callers came back after 0.1 s to a box with nothing for them for longer.
-        pause = self.chooser.pause_left(service.passage.pool.name)
+        pause = self.chooser.pause_left(service.context.pool.name)
         if pause and refusal in NOBODY_TAKES_IT:
             service.answers.give_up(Refusal.paused, pause)
             return
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -5,7 +5,7 @@
 from hitchdeck_edge.dispatch.answers import answer_headers
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.dispatch.exchange import Connection, Head
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.serving.caller import Caller
 
 
@@ -16,10 +16,10 @@
     last whole event that the caller has.
     """
 
-    def __init__(self, passage: Passage, caller: Caller) -> None:
-        self.passage = passage
+    def __init__(self, context: RequestContext, caller: Caller) -> None:
+        self.context = context
         self.caller = caller
-        self.splitter = EventSplitter(passage.last_event)
+        self.splitter = EventSplitter(context.last_event)
 
     async def pass_on(
         self,
@@ -43,7 +43,7 @@
             if whole:
                 on_event()
                 await self._write(connection, whole)
-                self.passage.last_event = self.splitter.last_id
+                self.context.last_event = self.splitter.last_id
         if self.splitter.rest:
             await self._write(connection, self.splitter.rest)
         self.caller.finish()
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -21,7 +21,7 @@
 from hitchdeck_edge.links.placing import SHORT_OF_TIME
 from hitchdeck_edge.model.calls import AnswerMark
 from hitchdeck_edge.model.dialect import Dialect, Forwarding
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.upstreams import Upstream
 from hitchdeck_edge.scheduling.books import Ticket
@@ -54,13 +54,13 @@
 
     async def send(self, service: Service, choice: Choice) -> bool:
         """Send the request to an upstream; tell whether it was sent."""
-        passage = service.passage
-        attempt = self._open_attempt(passage, choice)
+        context = service.context
+        attempt = self._open_attempt(context, choice)
         connection: Connection | None = None
         try:
             connection = await self.connections.take(
                 choice.upstream,
-                sure=not passage.repeatable,
+                sure=not context.repeatable,
             )
             if service.caller.has_left():
                 self.connections.put_back(choice.upstream.name, connection)
@@ -71,14 +71,14 @@
         except NotWantedError as error:
             logs.info(
                 'upstream spared',
-                request=passage.call.request,
+                request=context.call.request,
                 upstream=choice.upstream.name,
                 reason=str(error),
             )
             return False
         except NotSentError as error:
             service.unreached += 1
-            self._note_unreached(passage, choice, error)
+            self._note_unreached(context, choice, error)
             return False
         except BrokenAnswerError as error:
             attempt.reason = str(error)
@@ -92,7 +92,7 @@
         upstream = attempt.choice.upstream
         self.endings.note(
             upstream.life,
-            service.passage.content,
+            service.context.fingerprint,
             partial(self.connections.reaches, upstream),
         )
 
@@ -113,13 +113,13 @@
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
         self.placement.health.crash(UpstreamName(life))
 
-    def _open_attempt(self, passage: Passage, choice: Choice) -> Attempt:
+    def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
         ticket = Ticket(self.placement.books, name, choice.tokens)
         number = 0
-        if passage.pool.engine is not None:
+        if context.pool.engine is not None:
             number = self.link.track(choice.ticket, name, choice.tokens)
-        return Attempt(choice, self.now(), ticket, number, passage.may_have_run)
+        return Attempt(choice, self.now(), ticket, number, context.may_have_run)
 
     def _close_attempt(self, attempt: Attempt, connection: Connection | None) -> None:
         attempt.ticket.close()
@@ -151,32 +151,32 @@
         connection: Connection,
     ) -> None:
         self.connections.occupy(attempt.upstream, connection)
-        connection.send(self._outgoing(service.passage, attempt.choice))
+        connection.send(self._outgoing(service.context, attempt.choice))
         self._note_sent(service, attempt)
 
-    def _outgoing(self, passage: Passage, choice: Choice) -> Outgoing:
+    def _outgoing(self, context: RequestContext, choice: Choice) -> Outgoing:
         forwarding = Forwarding(
             upstream=choice.upstream,
-            account=passage.account,
-            seconds_left=max(0, passage.ends - self.now()),
-            last_event=passage.last_event,
-            body_bytes=len(passage.body),
+            account=context.account,
+            seconds_left=max(0, context.deadline - self.now()),
+            last_event=context.last_event,
+            body_bytes=len(context.body),
         )
-        headers = self.dialect.forward_headers(passage.call, forwarding)
+        headers = self.dialect.forward_headers(context.call, forwarding)
         return Outgoing(
-            passage.call.method,
-            passage.call.target,
+            context.call.method,
+            context.call.target,
             headers,
-            passage.body,
+            context.body,
         )
 
     def _note_sent(self, service: Service, attempt: Attempt) -> None:
-        passage = service.passage
-        passage.sent += 1
-        passage.may_have_run = True
+        context = service.context
+        context.sent += 1
+        context.may_have_run = True
         service.last = attempt
-        prompt = passage.call.prompt
-        if prompt is not None and passage.pool.engine is not None:
+        prompt = context.call.prompt
+        if prompt is not None and context.pool.engine is not None:
             self.placement.memory.note(attempt.upstream, prompt)
 
     async def _receive(
@@ -185,7 +185,7 @@
         attempt: Attempt,
         connection: Connection,
     ) -> None:
-        head = await self._own_head(service.passage, attempt, connection)
+        head = await self._own_head(service.context, attempt, connection)
         attempt.head = head
         mark = self.dialect.read_answer(head.status, head.headers)
         attempt.pause = mark.pause
@@ -195,7 +195,7 @@
         success = HTTPStatus.OK <= head.status < HTTPStatus.MULTIPLE_CHOICES
         if success and not mark.sealed:
             raise BrokenAnswerError('a success that the upstream does not vouch for')
-        if success and service.passage.route.streams:
+        if success and service.context.route.streams:
             await self._relay(service, attempt, connection, head)
         else:
             attempt.body = await connection.read_body()
@@ -213,21 +213,21 @@
         def on_event() -> None:
             if attempt.ticket.reading:
                 attempt.first_event = self.now() - attempt.began
-                self._note_start(service.passage, attempt)
+                self._note_start(service.context, attempt)
 
         attempt.relayed = True
         await service.relay.pass_on(connection, head, on_event)
         attempt.verdict = Verdict.answered
 
-    def _note_start(self, passage: Passage, attempt: Attempt) -> None:
+    def _note_start(self, context: RequestContext, attempt: Attempt) -> None:
         attempt.ticket.start()
         self.link.start(attempt.number)
         if busy_part() <= SHORT_OF_TIME:
-            self.placement.measure(attempt.ticket, passage.placement_query(self.domain))
+            self.placement.measure(attempt.ticket, context.placement_query(self.domain))
 
     async def _own_head(
         self,
-        passage: Passage,
+        context: RequestContext,
         attempt: Attempt,
         connection: Connection,
     ) -> Head:
@@ -239,12 +239,12 @@
             head = await connection.read_head()
             mark = self.dialect.read_answer(head.status, head.headers)
             self._heed(attempt.upstream, mark)
-            if mark.request in {'', passage.call.request}:
+            if mark.request in {'', context.call.request}:
                 return head
             await connection.read_body()
             logs.info(
                 'stale answer skipped',
-                request=passage.call.request,
+                request=context.call.request,
                 answered=mark.request,
             )
             if not connection.expect_another_answer():
@@ -264,7 +264,7 @@
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
         if attempt.verdict in {Verdict.answered, Verdict.failed}:
-            self.quarantine.note_answer(service.passage.content)
+            self.quarantine.note_answer(service.context.fingerprint)
         if attempt.verdict is Verdict.answered:
             health.succeed(attempt.upstream, self.now() - attempt.began)
             return
@@ -275,30 +275,30 @@
         else:
             health.err(attempt.upstream)
         if attempt.verdict is Verdict.not_run:
-            service.passage.may_have_run = attempt.ran_before
+            service.context.may_have_run = attempt.ran_before
         logs.info(
             'attempt failed',
-            request=service.passage.call.request,
-            content=service.passage.content.hex(),
+            request=service.context.call.request,
+            content=service.context.fingerprint.hex(),
             upstream=attempt.upstream,
             verdict=attempt.verdict.value,
             status=attempt.head.status if attempt.head else 0,
             reason=attempt.reason,
-            attempt=service.passage.sent,
+            attempt=service.context.sent,
             pause=attempt.pause,
             leaving=attempt.leaving,
-            decided_by=service.passage.decided_by,
+            decided_by=service.context.decided_by,
         )
 
     def _note_unreached(
         self,
-        passage: Passage,
+        context: RequestContext,
         choice: Choice,
         error: NotSentError,
     ) -> None:
         logs.info(
             'upstream not reached',
-            request=passage.call.request,
+            request=context.call.request,
             upstream=choice.upstream.name,
             reason=str(error),
         )
--- a/packages/edge/src/hitchdeck_edge/model/passage.py
+++ b/packages/edge/src/hitchdeck_edge/model/passage.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(slots=True)
-class Passage:
+class RequestContext:
     """One request, what was decided on it, and how far it is.
 
     Attributes
     ----------
     version
         Document under which it was routed.
-    arrived, ends
+    arrived, deadline
         When it was read, and when its final answer is due at the latest.
     tried
         Upstreams that it was sent to, or that could not be reached.
@@ -34,7 +34,7 @@
         The scheduler that decided on it last, or this box.
     areas
         Areas in which it may be served; everywhere if empty.
-    content
+    fingerprint
         What is the same in each repeat of it, whatever the request's id.
     """
 
@@ -45,19 +45,19 @@
     account: AccountName | None
     version: DocumentVersion
     arrived: float
-    ends: float
+    deadline: float
     tried: set[UpstreamName] = field(default_factory=set)
     sent: int = 0
     may_have_run: bool = False
     last_event: str = ''
     decided_by: str = ''
     areas: frozenset[str] = frozenset()
-    content: Fingerprint = field(init=False)
+    fingerprint: Fingerprint = field(init=False)
 
     def __post_init__(self) -> None:
         """Take the fingerprint of what the caller sent."""
         call = self.call
-        self.content = fingerprint_of(
+        self.fingerprint = fingerprint_of(
             call.method,
             call.host.encode(),
             call.target,
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -5,7 +5,7 @@
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.ids import PoolName
 from hitchdeck_edge.links.placing import PlacingLink
-from hitchdeck_edge.model.passage import THIS_BOX, Passage
+from hitchdeck_edge.model.passage import THIS_BOX, RequestContext
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.scheduler import Scheduler
@@ -34,9 +34,9 @@
         serving = self.local.placement.registry.serving(pool)
         return self.backpressure.seconds_left(one.name for one in serving)
 
-    async def choose(self, passage: Passage) -> Choice | Refusal:
+    async def choose(self, context: RequestContext) -> Choice | Refusal:
         """Return the upstream to send a request to, or why it is refused."""
-        query = passage.placement_query(self.domain)
+        query = context.placement_query(self.domain)
         closed = self.backpressure.closed()
         if closed:
             query = replace(query, avoid=frozenset(closed))
@@ -48,9 +48,9 @@
         asks = self.local.mechanisms.scheduler
         decision = await self.link.place(query) if asks else None
         if decision is None:
-            passage.decided_by = THIS_BOX
+            context.decided_by = THIS_BOX
             return self.local.decide(query)
-        passage.decided_by = scheduler or ''
+        context.decided_by = scheduler or ''
         # Count as if this box had decided: it may soon have to.
         self.local.shares.ask(query)
         if isinstance(decision, Choice):
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -14,7 +14,7 @@
 from hitchdeck_edge.model.calls import Call
 from hitchdeck_edge.model.dialect import Dialect
 from hitchdeck_edge.model.document import Route, common_homes
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import Caller
 from hitchdeck_edge.serving.front import Reading
@@ -172,7 +172,9 @@
         while self.documents.document is None and self.now() < until:
             await self.documents.changed.wait(until - self.now())
 
-    def _admit(self, call: Call, body: bytes, arrived: float) -> Passage | Refusal:
+    def _admit(
+        self, call: Call, body: bytes, arrived: float
+    ) -> RequestContext | Refusal:
         document = self.documents.document
         if document is None:
             return Refusal.no_document
@@ -190,7 +192,7 @@
             return Refusal.stopping
         pool = document.pools[_pool_of(route)]
         patience = min(call.patience or route.time_limit, route.time_limit)
-        return Passage(
+        return RequestContext(
             call=call,
             body=body,
             route=route,
@@ -198,7 +200,7 @@
             account=account.name if account else None,
             version=document.version,
             arrived=arrived,
-            ends=arrived + patience,
+            deadline=arrived + patience,
             last_event=call.last_event,
             areas=homes,
         )
@@ -208,28 +210,28 @@
         return self.stopping.refuses(longest, streams=route.streams)
 
     def _note_service(self, service: Service) -> None:
-        passage = service.passage
+        context = service.context
         last = service.last
-        seconds = self.now() - passage.arrived
-        self.gauges.served(passage, service.answers.outcome, seconds)
+        seconds = self.now() - context.arrived
+        self.gauges.served(context, service.answers.outcome, seconds)
         logs.info(
             'request',
-            request=passage.call.request,
-            route=passage.route.name,
-            account=passage.account,
-            version=passage.version,
+            request=context.call.request,
+            route=context.route.name,
+            account=context.account,
+            version=context.version,
             outcome=service.answers.outcome,
             status=service.caller.status,
             upstream=last.upstream if last else '',
-            sent=passage.sent,
+            sent=context.sent,
             expected_queue=round(last.choice.queue, 3) if last else 0,
-            decided_by=passage.decided_by,
+            decided_by=context.decided_by,
             unread=last.choice.tokens if last else 0,
             first_event=round(last.first_event, 3) if last else 0,
-            goal=passage.route.goal,
+            goal=context.route.goal,
             seconds=round(seconds, 3),
-            **_content_field(passage, service.answers.outcome),
-            **_size_fields(passage.call),
+            **_content_field(context, service.answers.outcome),
+            **_size_fields(context.call),
         )
 
     def _note_end(
@@ -252,11 +254,11 @@
         )
 
 
-def _content_field(passage: Passage, outcome: str) -> dict[str, object]:
+def _content_field(context: RequestContext, outcome: str) -> dict[str, object]:
     """Return what leads from a request that is kept away to the ends before it."""
     if outcome != Refusal.quarantined.name:
         return {}
-    return {'content': passage.content.hex()}
+    return {'content': context.fingerprint.hex()}
 
 
 def _size_fields(call: Call) -> dict[str, object]:
--- a/packages/edge/src/hitchdeck_edge/serving/gauges.py
+++ b/packages/edge/src/hitchdeck_edge/serving/gauges.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.model.passage import THIS_BOX, Passage
+from hitchdeck_edge.model.passage import THIS_BOX, RequestContext
 
 MS = 1000.0
 SERIES = 60
@@ -49,14 +49,14 @@
         self.upstream_changes = 0
         self.handed_on = 0
 
-    def served(self, passage: Passage, outcome: str, seconds: float) -> None:
+    def served(self, context: RequestContext, outcome: str, seconds: float) -> None:
         """Count a request that was dispatched."""
-        self.note_duration(passage.route.name, seconds)
+        self.note_duration(context.route.name, seconds)
         self.outcomes[outcome] += 1
-        account = passage.account or ''
+        account = context.account or ''
         self.accounts[(account, outcome)] += 1
-        self.placed_alone += passage.decided_by == THIS_BOX
-        kind = 'stream' if passage.route.streams else 'call'
+        self.placed_alone += context.decided_by == THIS_BOX
+        kind = 'stream' if context.route.streams else 'call'
         self.histograms.record('request_ms', (kind,), seconds * MS)
 
     def longest_seconds(self, route: RouteName) -> float:
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -161,8 +161,8 @@
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
     call = replace(wanted(), avoid=frozenset((UpstreamName('e1'),)))
     assert not local.placement.candidates(call)
-    passage = SimpleNamespace(placement_query=lambda _domain: wanted(), decided_by='')
-    assert await chooser.choose(passage) == choice
+    context = SimpleNamespace(placement_query=lambda _domain: wanted(), decided_by='')
+    assert await chooser.choose(context) == choice
 
 
 @dataclass
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -13,7 +13,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import ELSEWHERE_RETRY_SECONDS, Refusal
 from hitchdeck_edge.serving import admission, caller
@@ -271,8 +271,8 @@
     scheduler = site.hubs[0].placing.scheduler
     choose = dispatcher.chooser.choose
 
-    async def choose_late(passage: Passage) -> Choice | Refusal:
-        choice = await choose(passage)
+    async def choose_late(context: RequestContext) -> Choice | Refusal:
+        choice = await choose(context)
         # The loop does nothing meanwhile, so no timer ends the request.
         time.sleep(0.3)
         return choice
--- a/tests/edge/test_unread_closes.py
+++ b/tests/edge/test_unread_closes.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hitchdeck_edge.model.passage import Passage
+from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from standins.platform_site import HOST, KEY, Site, running_site
@@ -44,8 +44,8 @@
     chooser = site.boxes[0].admission.dispatcher.chooser
     choose = chooser.choose
 
-    async def choose_and_act(passage: Passage) -> Choice | Refusal:
-        choice = await choose(passage)
+    async def choose_and_act(context: RequestContext) -> Choice | Refusal:
+        choice = await choose(context)
         act()
         return choice
 
