--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.retry_after import RETRY_AFTER
 from hitchdeck_edge.dispatch.exchange import Head
 from hitchdeck_edge.model.calls import Header
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import AnswerHeaders, Caller
@@ -51,7 +51,7 @@
 
 
 def refuse(
-    dialect: Dialect,
+    adapter: PlatformAdapter,
     request: RequestId,
     caller: Caller,
     refusal: Refusal,
@@ -71,7 +71,7 @@
         The caller left before.
     """
     reply = refusal.value
-    headers = echo_headers(dialect, request)
+    headers = echo_headers(adapter, request)
     seconds = retry_after or reply.retry_after
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
@@ -79,18 +79,18 @@
     caller.answer_briefly(reply.status, reason, headers, reply.why.encode())
 
 
-def echo_headers(dialect: Dialect, request: RequestId) -> list[tuple[str, str]]:
+def echo_headers(adapter: PlatformAdapter, request: RequestId) -> list[tuple[str, str]]:
     """Return what an answer of the product's own repeats of a request."""
-    return [(dialect.request_field, request)] if request else []
+    return [(adapter.request_field, request)] if request else []
 
 
 class Answers:
     """The one final answer to a passage."""
 
     def __init__(
-        self, dialect: Dialect, context: RequestContext, caller: Caller
+        self, adapter: PlatformAdapter, context: RequestContext, caller: Caller
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.context = context
         self.caller = caller
         self.outcome = 'open'
@@ -117,7 +117,7 @@
             self._say(HTTPStatus.BAD_GATEWAY)
         else:
             request = self.context.call.request
-            refuse(self.dialect, request, self.caller, refusal, retry_after)
+            refuse(self.adapter, request, self.caller, refusal, retry_after)
 
     def run_out_of_time(self) -> None:
         """End a request whose time is over."""
@@ -130,5 +130,5 @@
             self.give_up(Refusal.time_over)
 
     def _say(self, status: HTTPStatus) -> None:
-        headers = echo_headers(self.dialect, self.context.call.request)
+        headers = echo_headers(self.adapter, self.context.call.request)
         self.caller.answer_briefly(status, status.phrase, headers, b'unknown')
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
@@ -31,13 +31,13 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         chooser: Chooser,
         sender: Sender,
         budget: RepeatBudget,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.chooser = chooser
         self.sender = sender
         self.budget = budget
@@ -45,7 +45,7 @@
 
     def open(self, context: RequestContext, caller: Caller) -> Service:
         """Return the service of a request, which is counted from now on."""
-        answers = Answers(self.dialect, context, caller)
+        answers = Answers(self.adapter, context, caller)
         self.budget.count(context.pool.name)
         return Service(context, caller, answers, Relay(context, caller))
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -19,8 +19,8 @@
     NotWantedError,
 )
 from hitchdeck_edge.links.placing import SHORT_OF_TIME
-from hitchdeck_edge.model.calls import AnswerMark
-from hitchdeck_edge.model.dialect import Dialect, Forwarding
+from hitchdeck_edge.model.calls import ResponseMarks
+from hitchdeck_edge.model.dialect import Forwarding, PlatformAdapter
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.upstreams import Upstream
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         chooser: Chooser,
         connections: Connections,
         quarantine: Quarantine,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
@@ -162,7 +162,7 @@
             last_event=context.last_event,
             body_bytes=len(context.body),
         )
-        headers = self.dialect.forward_headers(context.call, forwarding)
+        headers = self.adapter.forward_headers(context.call, forwarding)
         return Outgoing(
             context.call.method,
             context.call.target,
@@ -187,10 +187,10 @@
     ) -> None:
         head = await self._own_head(service.context, attempt, connection)
         attempt.head = head
-        mark = self.dialect.read_answer(head.status, head.headers)
+        mark = self.adapter.read_answer(head.status, head.headers)
         attempt.pause = mark.pause
         attempt.leaving = mark.leaving
-        if mark.other_life:
+        if mark.other_incarnation:
             self.placement.health.misplace(attempt.upstream)
         success = HTTPStatus.OK <= head.status < HTTPStatus.MULTIPLE_CHOICES
         if success and not mark.sealed:
@@ -237,7 +237,7 @@
         """
         for _ in range(STALE_ANSWERS):
             head = await connection.read_head()
-            mark = self.dialect.read_answer(head.status, head.headers)
+            mark = self.adapter.read_answer(head.status, head.headers)
             self._heed(attempt.upstream, mark)
             if mark.request in {'', context.call.request}:
                 return head
@@ -251,7 +251,7 @@
                 break
         raise BrokenAnswerError('only answers to other requests came')
 
-    def _heed(self, name: UpstreamName, mark: AnswerMark) -> None:
+    def _heed(self, name: UpstreamName, mark: ResponseMarks) -> None:
         """Keep to what an upstream asks for in an answer, to whichever request."""
         # 438 requests went to upstreams that had asked this box for a pause,
         # within five seconds of load.
--- a/packages/edge/src/hitchdeck_edge/links/placing_messages.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing_messages.py
@@ -37,9 +37,9 @@
     )
     if query.prompt is not None:
         message.tokens = query.prompt.tokens
-        message.expected_made = query.prompt.expected_made
+        message.expected_made = query.prompt.expected_output_tokens
         message.parts.extend(
-            PromptPart(part=part.part, tokens=part.tokens)
+            PromptPart(part=part.part_id, tokens=part.tokens)
             for part in query.prompt.parts
         )
     return message
--- a/packages/edge/src/hitchdeck_edge/model/calls.py
+++ b/packages/edge/src/hitchdeck_edge/model/calls.py
@@ -15,7 +15,7 @@
 class Part:
     """A part of a prompt, and its length in tokens."""
 
-    part: PartId
+    part_id: PartId
     tokens: int
 
 
@@ -24,12 +24,12 @@
     """Size of a generation, in tokens; ``parts`` in their order.
 
     All parts but the last may be shared with other requests.
-    ``expected_made`` is the caller's own estimate of what the engine will make
+    ``expected_output_tokens`` is the caller's own estimate of what the engine will make
     where it gives one, else the most that it allows.
     """
 
     tokens: int
-    expected_made: int
+    expected_output_tokens: int
     parts: tuple[Part, ...]
 
 
@@ -39,7 +39,7 @@
 
     Attributes
     ----------
-    patience
+    timeout
         Seconds that the caller waits, or ``None`` if it does not say.
     last_event
         Id of the last event that the caller has of a broken stream.
@@ -53,18 +53,18 @@
     host: str
     path: str
     key: str
-    patience: float | None
+    timeout: float | None
     last_event: str
     prompt: Prompt | None
     headers: tuple[Header, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMark:
+class ResponseMarks:
     """What an upstream's answer says besides its content.
 
     ``sealed`` says that the upstream vouches for it as its own; ``not_run``
-    is its word that it did not run the request; ``other_life`` that another
+    is its word that it did not run the request; ``other_incarnation`` that another
     upstream has the address by now.  ``pause`` is for how many seconds it wants
     nothing from this box, 0 where it does not say; ``leaving`` that it leaves.
     """
@@ -72,6 +72,6 @@
     request: RequestId
     sealed: bool
     not_run: bool
-    other_life: bool
+    other_incarnation: bool
     pause: float = 0.0
     leaving: bool = False
--- a/packages/edge/src/hitchdeck_edge/model/dialect.py
+++ b/packages/edge/src/hitchdeck_edge/model/dialect.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core.ids import AccountName
-from hitchdeck_edge.model.calls import AnswerMark, Call, Header
+from hitchdeck_edge.model.calls import Call, Header, ResponseMarks
 from hitchdeck_edge.model.document import Document
 from hitchdeck_edge.model.upstreams import Upstream
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dialect:
+class PlatformAdapter:
     """Functions and names that speak a platform's wire forms.
 
     ``read_call`` and ``read_document`` raise ``CallError`` and
@@ -34,6 +34,6 @@
 
     read_call: Callable[[str, str, Iterable[tuple[str, str]]], Call]
     forward_headers: Callable[[Call, Forwarding], list[Header]]
-    read_answer: Callable[[int, Iterable[Header]], AnswerMark]
+    read_answer: Callable[[int, Iterable[Header]], ResponseMarks]
     request_field: str
     read_document: Callable[[bytes], Document]
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.links.entry import EntryLink
 from hitchdeck_edge.links.hubs import HubBook
 from hitchdeck_edge.links.placing import PlacingLink
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
 from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
@@ -113,14 +113,14 @@
         self.admission.gauges.handed_on = self.door.handoff.handed
 
 
-async def start_entry(settings: EntrySettings, dialect: Dialect) -> EntryBox:
+async def start_entry(settings: EntrySettings, adapter: PlatformAdapter) -> EntryBox:
     """Start an entry box that speaks a platform's dialect."""
-    knowledge = new_knowledge(settings, dialect)
+    knowledge = new_knowledge(settings, adapter)
     seeds = map(Address, settings.seeds)
     book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, dialect, knowledge, book)
+    dispatcher = _dispatcher(settings, adapter, knowledge, book)
     stopping = Stopping(settings.stop_grace, boot_seconds)
-    admission = Admission(dialect, knowledge, dispatcher, stopping, boot_seconds)
+    admission = Admission(adapter, knowledge, dispatcher, stopping, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
@@ -143,7 +143,7 @@
 
 def _dispatcher(
     settings: EntrySettings,
-    dialect: Dialect,
+    adapter: PlatformAdapter,
     knowledge: Knowledge,
     book: HubBook,
 ) -> Dispatcher:
@@ -165,8 +165,8 @@
     chooser.local.placement.cold_budget.part = budget.part_of_fleet
     connections = Connections(boot_seconds)
     quarantine = knowledge.quarantine
-    sender = Sender(dialect, chooser, connections, quarantine, boot_seconds)
-    return Dispatcher(dialect, chooser, sender, budget, boot_seconds)
+    sender = Sender(adapter, chooser, connections, quarantine, boot_seconds)
+    return Dispatcher(adapter, chooser, sender, budget, boot_seconds)
 
 
 def _start(box: EntryBox) -> None:
--- a/packages/edge/src/hitchdeck_edge/scheduling/memory.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/memory.py
@@ -33,10 +33,10 @@
 
     def use(self, part: Part, now: float, most: int) -> None:
         """Note the use of a part; ``most`` is the engine's memory in tokens."""
-        known = self.parts.pop(part.part, None)
+        known = self.parts.pop(part.part_id, None)
         if known is not None:
             self.tokens -= known.tokens
-        self.parts[part.part] = Kept(part.tokens, now)
+        self.parts[part.part_id] = Kept(part.tokens, now)
         self.tokens += part.tokens
         while self.tokens > most:
             _, yielded = self.parts.popitem(last=False)
@@ -46,7 +46,7 @@
         """Return how many tokens of a prompt are kept from its start on."""
         total = 0
         for part in prompt.parts:
-            known = self.parts.get(part.part)
+            known = self.parts.get(part.part_id)
             if known is None or known.used < horizon:
                 break
             total += part.tokens
@@ -74,7 +74,7 @@
     def uncached_at(self, names: Iterable[UpstreamName], prompt: Prompt) -> list[int]:
         """Return how many tokens of a prompt each of some engines must read."""
         horizon = self.now() - REMEMBERED_SECONDS
-        first = prompt.parts[0].part if prompt.parts else None
+        first = prompt.parts[0].part_id if prompt.parts else None
         unread: list[int] = []
         for name in names:
             known = self.engines.get(name)
--- a/packages/edge/src/hitchdeck_edge/scheduling/patience.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/patience.py
@@ -71,6 +71,6 @@
 
 def _yield_part(prompt: Prompt, unread: int) -> float:
     """Return a part between the floor and 1: size against the engine's work."""
-    work = unread + MADE_WORK * prompt.expected_made
+    work = unread + MADE_WORK * prompt.expected_output_tokens
     gain = weight_of(prompt) / max(1, work)
     return min(1, max(LEAST_YIELD_PART, gain / FULL_YIELD))
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -225,7 +225,7 @@
             return ''
         if least_unread <= parts[-1].tokens:
             return ''
-        key = parts[-2].part if len(parts) > 1 else parts[0].part
+        key = parts[-2].part_id if len(parts) > 1 else parts[0].part_id
         return ranked(key, [one.name for one in candidates])[0]
 
     def _weigh(
@@ -252,7 +252,7 @@
         """Return what an engine nearby with some tokens before it has in its favour."""
         limit = NEAR_WAIT_PART * query.goal * self.pace.of(query.pool)
         idle_part = max(0, 1 - wait / max(1, limit))
-        crossing = query.body_bytes + MADE_BYTES * prompt.expected_made
+        crossing = query.body_bytes + MADE_BYTES * prompt.expected_output_tokens
         return NEAR_TOKENS + idle_part * FAR_TOKENS_PER_BYTE * crossing
 
     def _wait(self, name: UpstreamName) -> int:
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -186,4 +186,4 @@
 
 def weight_of(prompt: Prompt) -> int:
     """Return a generation's size in the unit of the capacity."""
-    return prompt.tokens + MADE_WEIGHT * prompt.expected_made
+    return prompt.tokens + MADE_WEIGHT * prompt.expected_output_tokens
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.errors import CallerGoneError, CallError
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.model.document import Route, common_homes
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
@@ -43,13 +43,13 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         known: Knowledge,
         dispatcher: Dispatcher,
         stopping: Stopping,
         now: Clock,
     ) -> None:
-        self.dialect = dialect
+        self.adapter = adapter
         self.documents = known.documents
         self.dispatcher = dispatcher
         self.stopping = stopping
@@ -57,7 +57,7 @@
         self.gauges = Gauges(now)
         self.tasks: set[asyncio.Task[None]] = set()
         self.rejections = Rejections(now)
-        self.shedder = Shedder(dialect.request_field, self._has_time, self._record)
+        self.shedder = Shedder(adapter.request_field, self._has_time, self._record)
 
     def take(self, reading: Reading) -> None:
         """Start to serve a request that was read."""
@@ -89,9 +89,9 @@
 
         Its head is not decoded, and no task is made.
         """
-        request = RequestId(reading.headers.get(self.dialect.request_field, ''))
+        request = RequestId(reading.headers.get(self.adapter.request_field, ''))
         try:
-            refuse(self.dialect, request, caller, Refusal.no_time_here)
+            refuse(self.adapter, request, caller, Refusal.no_time_here)
         except CallerGoneError:
             self.gauges.ended(CALLER_GONE)
             return
@@ -127,7 +127,7 @@
         if call is not None:
             await self._decide(call, body, caller, arrived)
             return
-        refuse(self.dialect, _NO_ID, caller, Refusal.bad_request)
+        refuse(self.adapter, _NO_ID, caller, Refusal.bad_request)
         self._note_end(_NO_ID, caller, Refusal.bad_request.name, arrived)
 
     def _read(self, reading: Reading) -> Call | None:
@@ -135,7 +135,7 @@
         assert start is not None
         headers = reading.headers.get_all()
         try:
-            return self.dialect.read_call(start.method, start.path, headers)
+            return self.adapter.read_call(start.method, start.path, headers)
         except CallError as error:
             logs.info('request unreadable', reason=str(error))
             return None
@@ -150,7 +150,7 @@
         await self._wait_for_document(call, arrived)
         decision = self._admit(call, body, arrived)
         if isinstance(decision, Refusal):
-            refuse(self.dialect, call.request, caller, decision)
+            refuse(self.adapter, call.request, caller, decision)
             self._note_end(call.request, caller, decision.name, arrived, call)
             return
         self.gauges.opened(decision.route.name)
@@ -167,7 +167,7 @@
 
         Callers come back once or twice, and the document is there sooner.
         """
-        patience = call.patience or START_SECONDS
+        patience = call.timeout or START_SECONDS
         until = arrived + min(START_SECONDS, patience * START_PART)
         while self.documents.document is None and self.now() < until:
             await self.documents.changed.wait(until - self.now())
@@ -191,7 +191,7 @@
         if self._comes_too_late_to_stop(route):
             return Refusal.stopping
         pool = document.pools[_pool_of(route)]
-        patience = min(call.patience or route.time_limit, route.time_limit)
+        patience = min(call.timeout or route.time_limit, route.time_limit)
         return RequestContext(
             call=call,
             body=body,
@@ -272,8 +272,8 @@
         return {}
     return {
         'prompt': prompt.tokens,
-        'expected_made': prompt.expected_made,
-        'last_part': prompt.parts[-1].part if prompt.parts else '',
+        'expected_made': prompt.expected_output_tokens,
+        'last_part': prompt.parts[-1].part_id if prompt.parts else '',
     }
 
 
--- a/packages/edge/src/hitchdeck_edge/state/knowledge.py
+++ b/packages/edge/src/hitchdeck_edge/state/knowledge.py
@@ -5,7 +5,7 @@
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.dialect import Dialect
+from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.scheduling.books import Books
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import EntrySettings
@@ -30,10 +30,10 @@
     evacuations: Evacuations
 
 
-def new_knowledge(settings: EntrySettings, dialect: Dialect) -> Knowledge:
+def new_knowledge(settings: EntrySettings, adapter: PlatformAdapter) -> Knowledge:
     """Return what an entry box knows when it starts: nothing of the fleet yet."""
     news = Signal()
-    documents = Documents(dialect.read_document, news)
+    documents = Documents(adapter.read_document, news)
     registry = Registry(boot_seconds, news, hears_reports=False)
     scheduler = new_scheduler(settings, documents, registry)
     quarantine = Quarantine(boot_seconds, Signal())
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -300,13 +300,13 @@
             ('Prompt-Prefix', ','.join(f'{n}:{one}' for n, one in enumerate(parts))),
         ],
     )
-    assert call.patience is not None
+    assert call.timeout is not None
     wanted = PlacementQuery(
         request=call.request,
         pool=PoolName('s'),
         domain='a',
         slots=64,
-        goal=call.patience,
+        goal=call.timeout,
         account=AccountName('t'),
         prompt=call.prompt,
         tried=frozenset(),
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -249,7 +249,7 @@
     # What a refusal costs is taken from the requests that the box serves: where
     # all of an account's requests come to one box, from that account's share.
     unread = replace(DIALECT, read_call=fail_to_read)
-    monkeypatch.setattr(site.boxes[0].admission, 'dialect', unread)
+    monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
     monkeypatch.setattr(admission, 'busy_part', lambda: 1.0)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == 503
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -80,7 +80,7 @@
         given.append(('Length-Hint', hint))
     call = read_call('POST', '/a/b', given)
     assert call.prompt is not None
-    assert call.prompt.expected_made == expected
+    assert call.prompt.expected_output_tokens == expected
 
 
 @pytest.mark.parametrize(
