--- a/bench/lab/play.py
+++ b/bench/lab/play.py
@@ -21,7 +21,7 @@
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 from hitchdeck_edge.model.document import Document, DocumentVersion, Limits, Pool
 from hitchdeck_edge.model.document import Engine as EngineLimits
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase, Upstream
@@ -52,7 +52,7 @@
         self,
         deployment: Deployment,
         seed: str,
-        mechanisms: Mechanisms = ALL,
+        mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.deployment = deployment
         self.mechanisms = mechanisms
--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -76,7 +76,7 @@
     if seconds:
         headers.append((RETRY_AFTER, str(round(seconds, 3))))
     reason = HTTPStatus(reply.status).phrase
-    caller.answer_briefly(reply.status, reason, headers, reply.why.encode())
+    caller.answer_briefly(reply.status, reason, headers, reply.text.encode())
 
 
 def echo_headers(adapter: PlatformAdapter, request: RequestId) -> list[tuple[str, str]]:
--- a/packages/edge/src/hitchdeck_edge/hub/process.py
+++ b/packages/edge/src/hitchdeck_edge/hub/process.py
@@ -82,7 +82,7 @@
         """Return where a caller may go; nothing until boxes had time to attend."""
         if boot_seconds() - self.started < GATHERING_SECONDS:
             return []
-        homes = self.state.documents.table.homes(host)
+        homes = self.state.documents.table.allowed_areas(host)
         doors = doors_in_areas(self._doors(), domain, homes, self.settings.areas)
         answer = answer_for(caller, domain, doors, most)
         self._log_change(domain, len(answer.near), len(answer.elsewhere))
--- a/packages/edge/src/hitchdeck_edge/model/document.py
+++ b/packages/edge/src/hitchdeck_edge/model/document.py
@@ -13,7 +13,7 @@
 RouteName = NewType('RouteName', str)
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """What a route allows after a request may have run."""
 
     freely = 'freely'
@@ -37,14 +37,14 @@
 
     ``time_limit`` is the longest a request may be held, ``goal`` the time in
     which its answer is worth most, ``gap_goal`` the longest pause between two
-    events of a stream that is still on time.  ``homes`` are the areas in which its
+    events of a stream that is still on time.  ``allowed_areas`` are the areas in which its
     requests may be served; everywhere if empty.
     """
 
     name: RouteName
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     streams: bool
     resumable: bool
     targets: tuple[Target, ...]
@@ -54,7 +54,7 @@
     gap_goal: float
     priority: int
     needs_key: bool
-    homes: frozenset[str] = frozenset()
+    allowed_areas: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,13 +96,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AccountKeys:
+class ClientAccount:
     """A client account, the keys that stand for it, and its homes; see ``Route``."""
 
     name: AccountName
     keys: tuple[str, ...]
     priority: int | None
-    homes: frozenset[str] = frozenset()
+    allowed_areas: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
     routes: tuple[Route, ...]
     pools: dict[PoolName, Pool]
     limits: Limits
-    accounts: tuple[AccountKeys, ...]
+    accounts: tuple[ClientAccount, ...]
 
 
 def cold_seconds(document: Document | None, pool: PoolName) -> float:
@@ -128,16 +128,16 @@
     return known.cold_rate if known else 0
 
 
-def common_homes(route: Route, account: AccountKeys | None) -> frozenset[str] | None:
+def common_areas(route: Route, account: ClientAccount | None) -> frozenset[str] | None:
     """Return the areas in which a request may be served; everywhere if empty.
 
     Where route and account both have homes, both bind; ``None`` if no area is left.
     """
-    if account is None or not account.homes:
-        return route.homes
-    if not route.homes:
-        return account.homes
-    return route.homes & account.homes or None
+    if account is None or not account.allowed_areas:
+        return route.allowed_areas
+    if not route.allowed_areas:
+        return account.allowed_areas
+    return route.allowed_areas & account.allowed_areas or None
 
 
 def check_document(document: Document) -> None:
--- a/packages/edge/src/hitchdeck_edge/model/mechanisms.py
+++ b/packages/edge/src/hitchdeck_edge/model/mechanisms.py
@@ -51,5 +51,5 @@
             check_flag(getattr(self, one.name))
 
 
-ALL = Mechanisms()
+ALL_MECHANISMS = Mechanisms()
 """Every mechanism at work."""
--- a/packages/edge/src/hitchdeck_edge/model/passage.py
+++ b/packages/edge/src/hitchdeck_edge/model/passage.py
@@ -5,7 +5,7 @@
 from hitchdeck_core.ids import AccountName, UpstreamName
 from hitchdeck_core.quarantine.fingerprints import Fingerprint, fingerprint_of
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.document import DocumentVersion, Pool, Repeat, Route
+from hitchdeck_edge.model.document import DocumentVersion, Pool, RepeatPolicy, Route
 from hitchdeck_edge.model.placing import PlacementQuery
 
 THIS_BOX = 'this box'
@@ -86,4 +86,4 @@
         """Tell whether the request may run a second time."""
         if self.route.streams:
             return self.route.resumable
-        return self.route.repeat is Repeat.freely
+        return self.route.repeat is RepeatPolicy.freely
--- a/packages/edge/src/hitchdeck_edge/model/refusals.py
+++ b/packages/edge/src/hitchdeck_edge/model/refusals.py
@@ -19,10 +19,10 @@
 LOAD_RETRY_SECONDS = 0.25
 """About the time in which an engine reads one long prompt."""
 
-AGAIN_RETRY_SECONDS = 0.1
+TRANSIENT_RETRY_SECONDS = 0.1
 """Another box, or the next attempt, may well succeed."""
 
-ELSEWHERE_RETRY_SECONDS = 0.02
+OTHER_BOX_RETRY_SECONDS = 0.02
 """Only this box is in the way: another one serves at once."""
 
 QUARANTINE_RETRY_SECONDS = QUARANTINE_SECONDS
@@ -34,13 +34,13 @@
     """What a caller is told.
 
     ``retry_after`` is the seconds after which another try makes sense (0:
-    never), ``why`` the answer's text: the refusal's name, so that no two are
+    never), ``text`` the answer's text: the refusal's name, so that no two are
     equal, which an enumeration would take for one.
     """
 
     status: int
     retry_after: float
-    why: str
+    text: str
 
 
 @unique
@@ -58,15 +58,15 @@
     no_document = Reply(UNAVAILABLE, STATE_RETRY_SECONDS, 'no document')
     no_upstream = Reply(UNAVAILABLE, STATE_RETRY_SECONDS, 'no upstream')
     paused = Reply(UNAVAILABLE, LOAD_RETRY_SECONDS, 'all upstreams want a pause')
-    no_attempt_left = Reply(UNAVAILABLE, AGAIN_RETRY_SECONDS, 'no attempt left')
+    no_attempt_left = Reply(UNAVAILABLE, TRANSIENT_RETRY_SECONDS, 'no attempt left')
     overloaded = Reply(UNAVAILABLE, LOAD_RETRY_SECONDS, 'overloaded')
     quarantined = Reply(
         UNAVAILABLE,
         QUARANTINE_RETRY_SECONDS,
         'upstreams ended under this request',
     )
-    stopping = Reply(UNAVAILABLE, ELSEWHERE_RETRY_SECONDS, 'stopping')
+    stopping = Reply(UNAVAILABLE, OTHER_BOX_RETRY_SECONDS, 'stopping')
     no_time_here = Reply(
-        UNAVAILABLE, ELSEWHERE_RETRY_SECONDS, 'this box has no time left'
+        UNAVAILABLE, OTHER_BOX_RETRY_SECONDS, 'this box has no time left'
     )
-    time_over = Reply(UNAVAILABLE, AGAIN_RETRY_SECONDS, 'time over')
+    time_over = Reply(UNAVAILABLE, TRANSIENT_RETRY_SECONDS, 'time over')
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -14,7 +14,7 @@
 from hitchdeck_core.hashing import ranked
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_edge.model.calls import Prompt
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Upstream
 from hitchdeck_edge.scheduling.books import Books, Ticket
@@ -85,7 +85,7 @@
         self,
         registry: Registry,
         books: Books,
-        mechanisms: Mechanisms = ALL,
+        mechanisms: Mechanisms = ALL_MECHANISMS,
         areas: Areas = NO_AREAS,
         cold_rate: Callable[[PoolName], float] = _no_limit,
     ) -> None:
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -14,7 +14,7 @@
 from hitchdeck_core.clock import Clock, boot_seconds
 from hitchdeck_core.ids import PoolName, UpstreamName
 from hitchdeck_edge.model.document import cold_rate
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.books import Books, Ticket
@@ -52,7 +52,7 @@
         registry: Registry,
         shares: Shares,
         now: Clock,
-        mechanisms: Mechanisms = ALL,
+        mechanisms: Mechanisms = ALL_MECHANISMS,
         areas: Areas = NO_AREAS,
     ) -> None:
         self.documents = documents
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -13,7 +13,7 @@
 from hitchdeck_edge.errors import CallerGoneError, CallError
 from hitchdeck_edge.model.calls import Call
 from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.model.document import Route, common_homes
+from hitchdeck_edge.model.document import Route, common_areas
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.serving.caller import Caller
@@ -185,7 +185,7 @@
         account = table.account(call.key) if route.needs_key else None
         if route.needs_key and account is None:
             return Refusal.no_key
-        homes = common_homes(route, account)
+        homes = common_areas(route, account)
         if homes is None:
             return Refusal.no_upstream
         if self._comes_too_late_to_stop(route):
--- a/packages/edge/src/hitchdeck_edge/serving/shedding.py
+++ b/packages/edge/src/hitchdeck_edge/serving/shedding.py
@@ -23,7 +23,7 @@
 READ_BYTES = 65_536
 """Bytes of a body that are read, and dropped, at once."""
 
-_END = b'\r\n' + Refusal.no_time_here.value.why.encode()
+_END = b'\r\n' + Refusal.no_time_here.value.text.encode()
 _HEAD_END = b'\r\n\r\n'
 _LENGTH = re.compile(rb'\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n')
 _FRAMED_OTHERWISE = re.compile(rb'\r\n(?:transfer-encoding|expect|upgrade)[ \t]*:')
@@ -164,7 +164,7 @@
     lines = (
         f'HTTP/1.1 {status.value} {status.phrase}',
         f'{RETRY_AFTER}: {reply.retry_after}',
-        f'Content-Length: {len(reply.why)}',
+        f'Content-Length: {len(reply.text)}',
         'Connection: close',
         '',
     )
--- a/packages/edge/src/hitchdeck_edge/settings.py
+++ b/packages/edge/src/hitchdeck_edge/settings.py
@@ -14,7 +14,7 @@
 )
 from hitchdeck_core.errors import SettingsError
 from hitchdeck_core.ids import Address
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 
 LEAST_TOKEN = 8
 """Characters of a fleet token: a shorter one is soon guessed."""
@@ -87,7 +87,7 @@
     retry_share: float = 0.2
     retry_extra: float = 50
     retry_window: float = 10
-    mechanisms: Mechanisms = ALL
+    mechanisms: Mechanisms = ALL_MECHANISMS
     fleet_token: str = 'hitchdeck-fleet'
 
     def __post_init__(self) -> None:
--- a/packages/edge/src/hitchdeck_edge/state/routing.py
+++ b/packages/edge/src/hitchdeck_edge/state/routing.py
@@ -1,6 +1,6 @@
 """Finding the route and the client account of a request."""
 
-from hitchdeck_edge.model.document import AccountKeys, Document, Route
+from hitchdeck_edge.model.document import ClientAccount, Document, Route
 
 
 class RoutingTable:
@@ -8,7 +8,7 @@
 
     def __init__(self, document: Document | None = None) -> None:
         self.routes: dict[str, dict[str, Route]] = {}
-        self.accounts: dict[str, AccountKeys] = {}
+        self.accounts: dict[str, ClientAccount] = {}
         if document is None:
             return
         for route in document.routes:
@@ -31,11 +31,11 @@
             end -= 1
         return None
 
-    def account(self, key: str) -> AccountKeys | None:
+    def account(self, key: str) -> ClientAccount | None:
         """Return the client account that holds a key, if any."""
         return self.accounts.get(key)
 
-    def homes(self, host: str) -> frozenset[str]:
+    def allowed_areas(self, host: str) -> frozenset[str]:
         """Return the areas that are homes of some route of a host."""
         routes = self.routes.get(host, {}).values()
-        return frozenset().union(*(route.homes for route in routes))
+        return frozenset().union(*(route.allowed_areas for route in routes))
--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -15,7 +15,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 from hitchdeck_edge.model.document import DocumentVersion
-from hitchdeck_edge.model.mechanisms import ALL, Mechanisms
+from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Phase, Upstream
 from hitchdeck_edge.scheduling.scheduler import Scheduler
@@ -112,7 +112,7 @@
 def scheduler_of(
     clock: FakeClock,
     engines: int,
-    mechanisms: Mechanisms = ALL,
+    mechanisms: Mechanisms = ALL_MECHANISMS,
 ) -> Scheduler:
     registry = Registry(clock, Signal())
     for number in range(engines):
--- a/tests/edge/test_homes.py
+++ b/tests/edge/test_homes.py
@@ -10,7 +10,7 @@
 from hitchdeck_core.ids import AccountName, Address, BoxName
 from hitchdeck_edge.hub.directory import Door, doors_in_areas
 from hitchdeck_edge.links.placing_messages import decode_wanted, encode_wanted
-from hitchdeck_edge.model.document import AccountKeys, common_homes
+from hitchdeck_edge.model.document import ClientAccount, common_areas
 from hitchdeck_edge.state.routing import RoutingTable
 from hitchdeck_platform.documents import read_document
 from standins.platform_site import HOST, KEY, Site, document, route, running_site
@@ -109,15 +109,15 @@
         '"timeoutMs": 9, "service": "app"}'
     )
     known = read_document((text % routes).encode()).routes[0]
-    known = replace(known, homes=frozenset(route_homes.split()))
-    account = AccountKeys(
+    known = replace(known, allowed_areas=frozenset(route_homes.split()))
+    account = ClientAccount(
         name=AccountName('ann'),
         keys=(),
         priority=None,
-        homes=frozenset(account_homes.split()),
+        allowed_areas=frozenset(account_homes.split()),
     )
     expected = None if common is None else frozenset(common.split())
-    assert common_homes(known, account) == expected
+    assert common_areas(known, account) == expected
 
 
 def test_areas_travel_to_the_scheduler_and_bind_it() -> None:
@@ -159,5 +159,5 @@
 def test_the_homes_of_a_host_are_those_of_its_routes() -> None:
     text = json.dumps(with_homes(2, ['north', 'east'])).encode()
     table = RoutingTable(read_document(text))
-    assert table.homes(HOST) == {'north', 'east'}
-    assert not table.homes('other')
+    assert table.allowed_areas(HOST) == {'north', 'east'}
+    assert not table.allowed_areas('other')
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -15,7 +15,7 @@
 from hitchdeck_edge.model.calls import Call
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.model.refusals import ELSEWHERE_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.refusals import OTHER_BOX_RETRY_SECONDS, Refusal
 from hitchdeck_edge.serving import admission, caller
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_site import HOST, KEY, Site, document, running_site
@@ -239,7 +239,7 @@
     assert reply.code == status
     assert ran(site, 'r1') == (status == 200)
     if status == 503:
-        assert reply.headers['Retry-After'] == str(ELSEWHERE_RETRY_SECONDS)
+        assert reply.headers['Retry-After'] == str(OTHER_BOX_RETRY_SECONDS)
 
 
 async def test_what_a_box_has_no_time_for_is_answered_undecoded(
