--- a/bench/settling.py
+++ b/bench/settling.py
@@ -46,7 +46,7 @@
 def view_of(registry: Registry) -> View:
     """Return what decides where requests are sent."""
     return {
-        (one.name, one.address, one.phase, one.silent)
+        (one.name, one.address, one.phase, one.unresponsive)
         for one in registry.records.values()
         if one.phase is not Phase.gone
     }
--- a/packages/core/src/hitchdeck_core/quarantine/verdicts.py
+++ b/packages/core/src/hitchdeck_core/quarantine/verdicts.py
@@ -53,13 +53,13 @@
     Attributes
     ----------
     changes
-        Number of the last change; ``numbers`` tells each verdict's.
+        Number of the last change; ``change_numbers`` tells each verdict's.
     """
 
     def __init__(self, now: Clock) -> None:
         self.now = now
         self.known: dict[Fingerprint, Verdict] = {}
-        self.numbers: dict[Fingerprint, int] = {}
+        self.change_numbers: dict[Fingerprint, int] = {}
         self.changes = 0
 
     def holds(self, content: Fingerprint) -> bool:
@@ -98,7 +98,7 @@
         return [
             verdict
             for content, verdict in self.known.items()
-            if self.numbers[content] > number and not self._is_over(verdict)
+            if self.change_numbers[content] > number and not self._is_over(verdict)
         ]
 
     def _round(self, content: Fingerprint) -> int:
@@ -112,8 +112,8 @@
         self.changes += 1
         self.known.pop(verdict.content, None)
         self.known[verdict.content] = verdict
-        self.numbers[verdict.content] = self.changes
+        self.change_numbers[verdict.content] = self.changes
         while len(self.known) > MOST_VERDICTS:
             oldest = next(iter(self.known))
             self.known.pop(oldest)
-            self.numbers.pop(oldest)
+            self.change_numbers.pop(oldest)
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -91,7 +91,7 @@
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
         self.endings.note(
-            upstream.life,
+            upstream.incarnation,
             service.context.fingerprint,
             partial(self.connections.reaches, upstream),
         )
@@ -106,12 +106,12 @@
             self.connections.drop(record.name)
         else:
             self.connections.cut(record.name)
-        self.endings.confirm(record.life)
+        self.endings.confirm(record.incarnation)
         self.backpressure.pass_on(record.name, newer.name)
 
-    def _note_crash(self, life: LifeId) -> None:
+    def _note_crash(self, incarnation: LifeId) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
-        self.placement.health.crash(UpstreamName(life))
+        self.placement.health.crash(UpstreamName(incarnation))
 
     def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
--- a/packages/edge/src/hitchdeck_edge/hub/liveness.py
+++ b/packages/edge/src/hitchdeck_edge/hub/liveness.py
@@ -62,10 +62,10 @@
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             if self._hears_somebody(limit):
-                self.registry.silence(limit)
+                self.registry.mark_unresponsive(limit)
 
     def _hears_somebody(self, limit: float) -> bool:
-        newest = max(self.registry.heard.values(), default=0)
+        newest = max(self.registry.last_heard.values(), default=0)
         alive = any(
             one.phase is not Phase.gone for one in self.registry.records.values()
         )
--- a/packages/edge/src/hitchdeck_edge/hub/rebirths.py
+++ b/packages/edge/src/hitchdeck_edge/hub/rebirths.py
@@ -43,8 +43,8 @@
         if known is not None:
             # It may have been set later than it says.
             upstream = replace(upstream, born=known.born)
-        newest = self.registry.newest_life(upstream.lineage)
-        if newest is None or upstream.age_rank >= newest.age_rank:
+        newest = self.registry.latest_incarnation(upstream.instance_key)
+        if newest is None or upstream.incarnation_rank >= newest.incarnation_rank:
             self.doubted.pop(upstream.name, None)
             return upstream
         if known is not None or not self._is_believed(upstream, newest):
@@ -62,5 +62,5 @@
         if len(self.doubted) > MOST_DOUBTED:
             self.doubted.pop(next(iter(self.doubted)))
         lasted = self.now() - first.since >= SETTLED_SECONDS
-        over = newest.silent or newest.phase is Phase.gone
+        over = newest.unresponsive or newest.phase is Phase.gone
         return over and lasted and upstream.sequence > first.sequence
--- a/packages/edge/src/hitchdeck_edge/model/upstreams.py
+++ b/packages/edge/src/hitchdeck_edge/model/upstreams.py
@@ -56,7 +56,7 @@
     cold_left: float = field(default=0.0, compare=False)
 
     @property
-    def silent(self) -> bool:
+    def unresponsive(self) -> bool:
         """Tell whether it is suspected to have crashed, and not heard of since."""
         return self.sequence < self.cleared_by
 
@@ -66,17 +66,17 @@
         return (self.phase is Phase.gone, self.sequence)
 
     @property
-    def lineage(self) -> InstanceName:
+    def instance_key(self) -> InstanceName:
         """Return what all lives of this upstream have in common."""
         return self.instance or InstanceName(self.name)
 
     @property
-    def age_rank(self) -> tuple[int, UpstreamName]:
+    def incarnation_rank(self) -> tuple[int, UpstreamName]:
         """Return what is higher for a later life of the same instance."""
         return (self.born, self.name)
 
     @property
-    def life(self) -> LifeId:
+    def incarnation(self) -> LifeId:
         """Return what tells this life from every other one."""
         return LifeId(self.name)
 
@@ -89,6 +89,6 @@
     cleared_by: int
 
 
-def name_of_life(instance: InstanceName, born: int) -> UpstreamName:
+def incarnation_name(instance: InstanceName, born: int) -> UpstreamName:
     """Return the name of one life of an instance."""
     return UpstreamName(f'{instance}/{born}' if born else instance)
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -124,7 +124,9 @@
         if not self.mechanisms.ejection:
             return serving
         ejected = self.health.ejected()
-        trusted = [one for one in serving if not one.silent and one.name not in ejected]
+        trusted = [
+            one for one in serving if not one.unresponsive and one.name not in ejected
+        ]
         return trusted or serving
 
     def measure(self, ticket: Ticket, query: PlacementQuery) -> None:
--- a/packages/edge/src/hitchdeck_edge/state/registry.py
+++ b/packages/edge/src/hitchdeck_edge/state/registry.py
@@ -15,14 +15,14 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import Address, InstanceName, LifeId, PoolName, UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.upstreams import Phase, Suspicion, Upstream, name_of_life
+from hitchdeck_edge.model.upstreams import Phase, Suspicion, Upstream, incarnation_name
 from hitchdeck_edge.state.cold import ColdUpstreams
 
-GONE_KEPT_SECONDS = 120.0
+GONE_RETENTION_SECONDS = 120.0
 """How long the end of an upstream is remembered: far longer than a late
 report or a cut link may delay word of it; bounds the memory."""
 
-_NOBODY = UpstreamName('')
+_NO_NAME = UpstreamName('')
 
 
 class Registry:
@@ -31,7 +31,7 @@
     Attributes
     ----------
     changes
-        Number of the last change; ``numbers`` tells each record's.
+        Number of the last change; ``change_numbers`` tells each record's.
     heard
         When each upstream was last heard of, on the given clock, seconds.
     stored
@@ -57,33 +57,33 @@
         self.now = now
         self.hears_reports = hears_reports
         self.records: dict[UpstreamName, Upstream] = {}
-        self.numbers: dict[UpstreamName, int] = {}
-        self.heard: dict[UpstreamName, float] = {}
-        self.stored: dict[UpstreamName, float] = {}
+        self.change_numbers: dict[UpstreamName, int] = {}
+        self.last_heard: dict[UpstreamName, float] = {}
+        self.changed_at: dict[UpstreamName, float] = {}
         self.holders: dict[Address, UpstreamName] = {}
-        self.newest: dict[InstanceName, UpstreamName] = {}
+        self.latest: dict[InstanceName, UpstreamName] = {}
         self.superseded: set[UpstreamName] = set()
         self.changes = 0
         self.changed = changed
-        self.listed: dict[PoolName, list[Upstream]] = {}
-        self.listed_at = 0
+        self.serving_cache: dict[PoolName, list[Upstream]] = {}
+        self.serving_cached_at = 0
         self.cold = ColdUpstreams(now)
         self.closed_domains: frozenset[str] = frozenset()
 
     def merge(self, record: Upstream, origin: str) -> bool:
         """Take a record if it is newer; tell whether anything changed."""
-        if self._is_of_earlier_life(record):
+        if self._is_of_earlier_incarnation(record):
             return False
         known = self.records.get(record.name)
-        cools = self.cold.report(record.name, record.sequence, record.cold_left)
-        if record == known and not cools:
+        cold_changed = self.cold.report(record.name, record.sequence, record.cold_left)
+        if record == known and not cold_changed:
             return False
         if known is not None:
-            record = _join(record, known)
+            record = _merge_records(record, known)
             if record.sequence > known.sequence:
                 # Somebody has heard of it since.
-                self.heard[record.name] = self.now()
-            if not cools and not _differs(record, known):
+                self.last_heard[record.name] = self.now()
+            if not cold_changed and not _differs(record, known):
                 # A report that says nothing new is not passed on.
                 self.records[record.name] = record
                 return False
@@ -95,24 +95,24 @@
             address=record.address,
             phase=record.phase.name,
             sequence=record.sequence,
-            silent=record.silent,
+            silent=record.unresponsive,
             cold_left=round(self.cold.seconds_left(record.name), 3),
             cleared_by=record.cleared_by,
             origin=origin,
         )
-        self._end_earlier_lives(record)
+        self._end_earlier_incarnations(record)
         if known is None or known.address != record.address:
             self._suspect_holder(record)
         return True
 
     def hear(self, name: UpstreamName) -> None:
         """Note that an upstream was heard of now; its reports clear suspicions."""
-        self.heard[name] = self.now()
+        self.last_heard[name] = self.now()
 
     def end(self, instance: InstanceName, origin: str, born: int = 0) -> None:
         """Note that a life ended, known or not; the latest where none is named."""
-        named = name_of_life(instance, born)
-        known = self.newest_life(instance)
+        named = incarnation_name(instance, born)
+        known = self.latest_incarnation(instance)
         if known is None or (born and known.name != named):
             # An earlier life than the latest one is not taken; it has ended.
             known = Upstream(
@@ -128,16 +128,16 @@
             )
         self.merge(replace(known, phase=Phase.gone), origin)
 
-    def newest_life(self, instance: InstanceName) -> Upstream | None:
+    def latest_incarnation(self, instance: InstanceName) -> Upstream | None:
         """Return the latest life known of an instance, ended or not."""
-        return self.records.get(self.newest.get(instance, _NOBODY))
+        return self.records.get(self.latest.get(instance, _NO_NAME))
 
     def since(self, number: int) -> list[Upstream]:
         """Return the records that changed after a change number."""
         return [
             record
             for name, record in self.records.items()
-            if self.numbers[name] > number
+            if self.change_numbers[name] > number
         ]
 
     def serving(self, pool: PoolName) -> list[Upstream]:
@@ -145,17 +145,17 @@
 
         Kept until something changes: every request asks.
         """
-        if self.listed_at != self.changes:
-            self.listed = {}
-            self.listed_at = self.changes
-        known = self.listed.get(pool)
+        if self.serving_cached_at != self.changes:
+            self.serving_cache = {}
+            self.serving_cached_at = self.changes
+        known = self.serving_cache.get(pool)
         if known is None:
             known = [
                 record
                 for record in self.records.values()
                 if record.pool == pool and self.takes_work(record)
             ]
-            self.listed[pool] = known
+            self.serving_cache[pool] = known
         return known
 
     def takes_work(self, record: Upstream) -> bool:
@@ -172,21 +172,25 @@
         """
         reopened = self.closed_domains - domains
         self.closed_domains = domains
-        self.listed = {}
+        self.serving_cache = {}
         return [one for one in self.records.values() if one.domain in reopened]
 
-    def silence(self, limit: float) -> None:
+    def mark_unresponsive(self, limit: float) -> None:
         """Mark upstreams that nobody heard of for ``limit`` seconds."""
         horizon = self.now() - limit
         for name, record in list(self.records.items()):
-            last = self.heard.setdefault(name, self.now())
-            if last < horizon and not record.silent and record.phase is not Phase.gone:
+            last = self.last_heard.setdefault(name, self.now())
+            if (
+                last < horizon
+                and not record.unresponsive
+                and record.phase is not Phase.gone
+            ):
                 logs.warning('upstream silent', upstream=name, seconds=limit)
                 self._raise_suspicion(record)
 
-    def suspect(self, life: LifeId) -> None:
+    def suspect(self, incarnation: LifeId) -> None:
         """Suspect that an incarnation has crashed, until its next report."""
-        record = self.records.get(UpstreamName(life))
+        record = self.records.get(UpstreamName(incarnation))
         if record is not None:
             self._raise_suspicion(record)
 
@@ -195,7 +199,7 @@
         return [
             Suspicion(record.name, record.cleared_by)
             for record in self.since(number)
-            if record.silent and record.phase is not Phase.gone
+            if record.unresponsive and record.phase is not Phase.gone
         ]
 
     def merge_suspicion(self, suspicion: Suspicion) -> None:
@@ -218,7 +222,7 @@
     def replaced(self) -> list[tuple[Upstream, Upstream]]:
         """Return lives that a later one has replaced, each with the latest."""
         earlier = [self.records[name] for name in self.superseded]
-        latest = [self.newest_life(one.lineage) for one in earlier]
+        latest = [self.latest_incarnation(one.instance_key) for one in earlier]
         return [
             (record, newer)
             for record, newer in zip(earlier, latest, strict=True)
@@ -227,10 +231,10 @@
 
     def forget_ended(self) -> None:
         """Forget upstreams that have been gone or silent for long."""
-        horizon = self.now() - GONE_KEPT_SECONDS
+        horizon = self.now() - GONE_RETENTION_SECONDS
         for name, record in list(self.records.items()):
-            ended = record.phase is Phase.gone or record.silent
-            if ended and self.stored[name] < horizon:
+            ended = record.phase is Phase.gone or record.unresponsive
+            if ended and self.changed_at[name] < horizon:
                 self._forget(record)
 
     def names(self) -> Iterable[UpstreamName]:
@@ -240,19 +244,19 @@
     def _store(self, record: Upstream) -> None:
         self.changes += 1
         self.records[record.name] = record
-        self.numbers[record.name] = self.changes
-        self.stored[record.name] = self.now()
-        self.heard.setdefault(record.name, self.now())
+        self.change_numbers[record.name] = self.changes
+        self.changed_at[record.name] = self.now()
+        self.last_heard.setdefault(record.name, self.now())
         self.changed.notify()
 
-    def _is_of_earlier_life(self, record: Upstream) -> bool:
-        newest = self.newest_life(record.lineage)
-        return newest is not None and record.age_rank < newest.age_rank
+    def _is_of_earlier_incarnation(self, record: Upstream) -> bool:
+        latest = self.latest_incarnation(record.instance_key)
+        return latest is not None and record.incarnation_rank < latest.incarnation_rank
 
-    def _end_earlier_lives(self, record: Upstream) -> None:
+    def _end_earlier_incarnations(self, record: Upstream) -> None:
         """End what this life replaces: it holds and knows nothing of before."""
-        before = self.newest_life(record.lineage)
-        self.newest[record.lineage] = record.name
+        before = self.latest_incarnation(record.instance_key)
+        self.latest[record.instance_key] = record.name
         if before is None or before.name == record.name:
             return
         self.superseded.add(before.name)
@@ -276,24 +280,29 @@
             logs.info('upstream superseded', upstream=holder, by=record.name)
 
     def _raise_suspicion(self, record: Upstream) -> bool:
-        if record.phase is Phase.gone or record.silent:
+        if record.phase is Phase.gone or record.unresponsive:
             return False
         self._store(replace(record, cleared_by=record.sequence + 1))
         return True
 
     def _forget(self, record: Upstream) -> None:
-        for known in (self.records, self.numbers, self.heard, self.stored):
+        for known in (
+            self.records,
+            self.change_numbers,
+            self.last_heard,
+            self.changed_at,
+        ):
             known.pop(record.name, None)
         self.superseded.discard(record.name)
         self.cold.forget(record.name)
-        if self.newest.get(record.lineage) == record.name:
-            self.newest.pop(record.lineage)
-        self.listed = {}
+        if self.latest.get(record.instance_key) == record.name:
+            self.latest.pop(record.instance_key)
+        self.serving_cache = {}
         if self.holders.get(record.address) == record.name:
             self.holders.pop(record.address)
 
 
-def _join(record: Upstream, known: Upstream) -> Upstream:
+def _merge_records(record: Upstream, known: Upstream) -> Upstream:
     """Return what is known of one incarnation by two records."""
     if record.rank == known.rank:
         newer = max(record, known, key=_tie_break)
@@ -310,6 +319,6 @@
 
 def _differs(record: Upstream, known: Upstream) -> bool:
     """Tell whether a record says more than that another report came."""
-    if record.silent != known.silent:
+    if record.unresponsive != known.unresponsive:
         return True
     return replace(record, sequence=known.sequence) != known
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -121,7 +121,7 @@
     verdicts = Verdicts(float)
     for number in range(MOST_VERDICTS + 10):
         verdicts.quarantine(Fingerprint(b'%d' % number))
-    assert len(verdicts.known) == len(verdicts.numbers) == MOST_VERDICTS
+    assert len(verdicts.known) == len(verdicts.change_numbers) == MOST_VERDICTS
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -309,9 +309,9 @@
     registry = Registry(boot_seconds, Signal())
     registry.merge(upstream('new', 1), 'test')
     registry.merge(upstream('old', 9), 'test')
-    assert registry.records[UpstreamName('new')].silent
+    assert registry.records[UpstreamName('new')].unresponsive
     registry.merge(upstream('new', 2), 'test')
-    assert not registry.records[UpstreamName('new')].silent
+    assert not registry.records[UpstreamName('new')].unresponsive
     assert registry.records[UpstreamName('new')].phase is Phase.serving
 
 
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -22,7 +22,7 @@
 from hitchdeck_edge.model.upstreams import Upstream
 from hitchdeck_edge.scheduling.books import Books
 from hitchdeck_edge.scheduling.placement import Placement
-from hitchdeck_edge.state.registry import GONE_KEPT_SECONDS, Registry
+from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from hitchdeck_platform.doors import decode_upstream
 from standins.platform_site import Site, running_site
 from standins.platform_worker import Fault, Worker
@@ -253,7 +253,7 @@
     until = hub.clock.seconds + seconds
     while hub.clock.seconds < until:
         hub.hear(report(born, sequence, address))
-        hub.registry.silence(4 * PERIOD)
+        hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
         sequence += 1
 
@@ -272,7 +272,7 @@
     hub = Hub()
     for sequence in range(20):
         hub.hear(report(SECOND, sequence, NEW), report(FIRST, sequence, OLD))
-        hub.registry.silence(4 * PERIOD)
+        hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
     assert hub.used() == [NEW]
 
@@ -281,7 +281,7 @@
     hub = Hub()
     hub.hear(report(FIRST, 50), report(SECOND, 1, NEW))
     hub.liveness.end(NAME)
-    hub.clock.seconds += GONE_KEPT_SECONDS + 1
+    hub.clock.seconds += GONE_RETENTION_SECONDS + 1
     hub.placement.forget_gone()
     assert not hub.registry.records
-    assert not hub.registry.newest
+    assert not hub.registry.latest
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -77,8 +77,8 @@
     after = Registry(lambda: clock[0], Signal())
     upstreams_file(tmp_path, after).recall()
     clock[0] += 5
-    after.silence(4.8)
-    assert after.records[UpstreamName('lost')].silent
+    after.mark_unresponsive(4.8)
+    assert after.records[UpstreamName('lost')].unresponsive
 
 
 async def test_a_quarantine_outlives_a_restart_of_everything(tmp_path: Path) -> None:
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -9,7 +9,7 @@
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.scheduling.books import Books
 from hitchdeck_edge.scheduling.placement import Placement
-from hitchdeck_edge.state.registry import GONE_KEPT_SECONDS, Registry
+from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from tests.common.scheduling import FakeClock, engine, prompt
 
 
@@ -27,7 +27,7 @@
     assert bool(placement.memory.engines) is known
     assert bool(placement.health.records) is known
     assert registry.records
-    clock.seconds += GONE_KEPT_SECONDS + 1
+    clock.seconds += GONE_RETENTION_SECONDS + 1
     placement.forget_gone()
     assert bool(registry.records) is known
     assert bool(registry.holders) is known
@@ -51,10 +51,10 @@
     placement = Placement(registry, Books(clock))
     registry.merge(engine('e0'), 'test')
     placement.memory.note(UpstreamName('e0'), prompt())
-    registry.silence(0.0)
+    registry.mark_unresponsive(0.0)
     clock.seconds += 1
-    registry.silence(0.5)
-    clock.seconds += GONE_KEPT_SECONDS + 1
+    registry.mark_unresponsive(0.5)
+    clock.seconds += GONE_RETENTION_SECONDS + 1
     placement.forget_gone()
     assert not registry.records
     assert not placement.memory.engines
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -78,7 +78,7 @@
 
     def silence(self, registry: Registry, extra: int) -> None:
         self.clock.seconds += SILENCE_SECONDS * extra / 4
-        registry.silence(SILENCE_SECONDS)
+        registry.mark_unresponsive(SILENCE_SECONDS)
 
     def deliver(self, number: int, *, again: bool) -> None:
         links = self.fleet.links
@@ -97,7 +97,7 @@
 
 
 def suspect(registry: Registry, instance: str) -> None:
-    known = registry.newest_life(InstanceName(instance))
+    known = registry.latest_incarnation(InstanceName(instance))
     registry.suspect(LifeId(known.name if known else instance))
 
 
@@ -149,7 +149,7 @@
     fleet.hubs[reporter].report(report('e0', 3))
     for _ in range(2):
         fleet.exchange()
-    silent = [one.serving(POOL)[0].silent for one in fleet.registries]
+    silent = [one.serving(POOL)[0].unresponsive for one in fleet.registries]
     assert not any(silent)
 
 
@@ -162,10 +162,10 @@
     fleet.registries[1].suspect(LifeId('e0'))
     fleet.exchange()
     boxes = fleet.registries[HUBS:]
-    assert all(box.serving(POOL)[0].silent for box in boxes)
+    assert all(box.serving(POOL)[0].unresponsive for box in boxes)
     for suspicion in boxes[0].suspicions_since(0):
         fleet.registries[0].merge_suspicion(
             decode_suspicion(encode_suspicion(suspicion))
         )
     fleet.exchange()
-    assert not any(box.serving(POOL)[0].silent for box in boxes)
+    assert not any(box.serving(POOL)[0].unresponsive for box in boxes)
