--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -28,7 +28,7 @@
 from hitchdeck_edge.serving.handoff import Handoff
 from hitchdeck_edge.serving.stopping import Stopping
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import Knowledge, new_knowledge
+from hitchdeck_edge.state.knowledge import FleetState, new_fleet_state
 from hitchdeck_edge.state.relief import ReliefTargets
 
 STOP_POLL_SECONDS = 0.1
@@ -115,16 +115,16 @@
 
 async def start_entry(settings: EntrySettings, adapter: PlatformAdapter) -> EntryBox:
     """Start an entry box that speaks a platform's dialect."""
-    knowledge = new_knowledge(settings, adapter)
+    fleet_state = new_fleet_state(settings, adapter)
     seeds = map(Address, settings.seeds)
     book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, adapter, knowledge, book)
+    dispatcher = _dispatcher(settings, adapter, fleet_state, book)
     stopping = Stopping(settings.stop_grace, boot_seconds)
-    admission = Admission(adapter, knowledge, dispatcher, stopping, boot_seconds)
+    admission = Admission(adapter, fleet_state, dispatcher, stopping, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
-        link=EntryLink(settings, knowledge, dispatcher.budget, targets),
+        link=EntryLink(settings, fleet_state, dispatcher.budget, targets),
         book=book,
         admission=admission,
         door=FrontDoor(
@@ -144,7 +144,7 @@
 def _dispatcher(
     settings: EntrySettings,
     adapter: PlatformAdapter,
-    knowledge: Knowledge,
+    fleet_state: FleetState,
     book: HubBook,
 ) -> Dispatcher:
     budget = RepeatBudget(
@@ -156,15 +156,15 @@
     link = PlacingLink(
         settings.box,
         book,
-        knowledge.registry,
+        fleet_state.registry,
         settings.fleet_token,
-        knowledge.scheduler.shares,
+        fleet_state.scheduler.shares,
     )
-    chooser = Chooser(settings.domain, knowledge.scheduler, link)
+    chooser = Chooser(settings.domain, fleet_state.scheduler, link)
     # A box that decides alone has the part of one box.
     chooser.local.placement.cold_budget.part = budget.part_of_fleet
     connections = Connections(boot_seconds)
-    quarantine = knowledge.quarantine
+    quarantine = fleet_state.quarantine
     sender = Sender(adapter, chooser, connections, quarantine, boot_seconds)
     return Dispatcher(adapter, chooser, sender, budget, boot_seconds)
 
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -23,7 +23,7 @@
 from hitchdeck_edge.serving.rejections import Rejections
 from hitchdeck_edge.serving.shedding import Shedder
 from hitchdeck_edge.serving.stopping import Stopping
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.knowledge import FleetState
 
 CALLER_GONE = 'caller gone'
 """Outcome of a request whose caller closed its connection first."""
@@ -44,7 +44,7 @@
     def __init__(
         self,
         adapter: PlatformAdapter,
-        known: Knowledge,
+        known: FleetState,
         dispatcher: Dispatcher,
         stopping: Stopping,
         now: Clock,
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -201,7 +201,7 @@
         logs.info('box not reached', box_address=far.target, reason=repr(error))
         far.greeted.cancel()
         _abort(far)
-        self.targets.distrust(far.target)
+        self.targets.mark_unreachable(far.target)
         loop = asyncio.get_running_loop()
         loop.call_later(VERDICT_SECONDS, self._judge, far.target, self.targets.now())
 
--- a/packages/edge/src/hitchdeck_edge/state/cold.py
+++ b/packages/edge/src/hitchdeck_edge/state/cold.py
@@ -11,10 +11,10 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamName
 
-LEAST_CHANGE_SECONDS = 0.3
+MIN_CHANGE_SECONDS = 0.3
 """Smaller differences come from delays of reports and are not passed on."""
 
-LONGEST_COLD_SECONDS = 120.0
+MAX_COLD_SECONDS = 120.0
 """Cap on what an upstream reports: it must not go unused for good."""
 
 
@@ -59,14 +59,14 @@
         now = self.now()
         before = max(now, spell.reported)
         spell.sequence = sequence
-        spell.reported = now + min(LONGEST_COLD_SECONDS, left)
+        spell.reported = now + min(MAX_COLD_SECONDS, left)
         self.latest = max(self.latest, spell.reported)
-        return abs(spell.reported - before) > LEAST_CHANGE_SECONDS
+        return abs(spell.reported - before) > MIN_CHANGE_SECONDS
 
     def assume(self, name: UpstreamName, seconds: float) -> None:
         """Treat an upstream as cold for some seconds, whatever it reports."""
         spell = self.spells.setdefault(name, ColdSpell())
-        spell.assumed = self.now() + min(LONGEST_COLD_SECONDS, seconds)
+        spell.assumed = self.now() + min(MAX_COLD_SECONDS, seconds)
         self.latest = max(self.latest, spell.assumed)
 
     def seconds_left(self, name: UpstreamName) -> float:
--- a/packages/edge/src/hitchdeck_edge/state/knowledge.py
+++ b/packages/edge/src/hitchdeck_edge/state/knowledge.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class FleetState:
     """Configuration, upstreams, open work, and the box's own scheduler.
 
     ``quarantine`` tells which requests may reach no upstream, and why, and
@@ -30,7 +30,7 @@
     evacuations: Evacuations
 
 
-def new_knowledge(settings: EntrySettings, adapter: PlatformAdapter) -> Knowledge:
+def new_fleet_state(settings: EntrySettings, adapter: PlatformAdapter) -> FleetState:
     """Return what an entry box knows when it starts: nothing of the fleet yet."""
     news = Signal()
     documents = Documents(adapter.read_document, news)
@@ -39,4 +39,4 @@
     quarantine = Quarantine(boot_seconds, Signal())
     books = scheduler.placement.books
     evacuations = Evacuations(domain_closer(registry, documents), news)
-    return Knowledge(documents, registry, books, scheduler, quarantine, evacuations)
+    return FleetState(documents, registry, books, scheduler, quarantine, evacuations)
--- a/packages/edge/src/hitchdeck_edge/state/relief.py
+++ b/packages/edge/src/hitchdeck_edge/state/relief.py
@@ -10,7 +10,7 @@
 TARGETS_TTL_SECONDS = 2.5
 """Time after which boxes that no hub names any more are not used."""
 
-DISTRUST_SECONDS = 2.0
+UNREACHABLE_SECONDS = 2.0
 """Time for which a box is not used that could not be reached."""
 
 
@@ -21,7 +21,7 @@
         self.now = now
         self.addresses: tuple[Address, ...] = ()
         self.named_at = -math.inf
-        self.distrusted: dict[Address, float] = {}
+        self.unreachable_until: dict[Address, float] = {}
 
     def offer(self, addresses: Iterable[str]) -> None:
         """Take the boxes that a hub names; none changes nothing."""
@@ -35,11 +35,15 @@
         now = self.now()
         if now - self.named_at > TARGETS_TTL_SECONDS:
             return None
-        trusted = [one for one in self.addresses if self.distrusted.get(one, 0) < now]
+        trusted = [
+            one for one in self.addresses if self.unreachable_until.get(one, 0) < now
+        ]
         return random.choice(trusted) if trusted else None
 
-    def distrust(self, address: Address) -> None:
+    def mark_unreachable(self, address: Address) -> None:
         """Use a box no more for a while."""
         now = self.now()
-        kept = {one: until for one, until in self.distrusted.items() if until > now}
-        self.distrusted = {**kept, address: now + DISTRUST_SECONDS}
+        kept = {
+            one: until for one, until in self.unreachable_until.items() if until > now
+        }
+        self.unreachable_until = {**kept, address: now + UNREACHABLE_SECONDS}
--- a/packages/edge/src/hitchdeck_edge/state/tallies.py
+++ b/packages/edge/src/hitchdeck_edge/state/tallies.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import AccountName, UpstreamName
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Demand, HubFrame, Load
 
-MOST_ON_WIRE = 4_294_967_295
+MAX_UINT32 = 4_294_967_295
 """Largest number of a message's 32-bit field.  What callers say of their sizes adds up
 to more, and a frame that can't be written would end a box's stream."""
 
@@ -40,8 +40,8 @@
         return [
             Load(
                 upstream=name,
-                waiting_tokens=_on_wire(self.waiting[name]),
-                running=_on_wire(self.running[name]),
+                waiting_tokens=_as_uint32(self.waiting[name]),
+                running=_as_uint32(self.running[name]),
             )
             for name in names
             if self.waiting[name] > 0 or self.running[name] > 0
@@ -50,7 +50,7 @@
     def demands(self) -> list[Demand]:
         """Return the tokens asked for as messages."""
         return [
-            Demand(account=name, tokens=_on_wire(tokens))
+            Demand(account=name, tokens=_as_uint32(tokens))
             for name, tokens in self.asked.items()
             if tokens > 0
         ]
@@ -75,5 +75,5 @@
     return total
 
 
-def _on_wire(number: int) -> int:
-    return min(MOST_ON_WIRE, max(0, number))
+def _as_uint32(number: int) -> int:
+    return min(MAX_UINT32, max(0, number))
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -13,7 +13,7 @@
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import Evacuations
-from hitchdeck_edge.state.knowledge import Knowledge
+from hitchdeck_edge.state.knowledge import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_platform.documents import read_document
 from tests.common.scheduling import FakeClock, scheduler_of
@@ -28,7 +28,7 @@
 def link_of(clock: FakeClock) -> EntryLink:
     """Return the link of a box that a hub has told of the others."""
     scheduler = scheduler_of(clock, 1)
-    known = Knowledge(
+    known = FleetState(
         Documents(read_document, Signal()),
         scheduler.placement.registry,
         scheduler.placement.books,
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
-from hitchdeck_edge.state.cold import LONGEST_COLD_SECONDS, ColdUpstreams
+from hitchdeck_edge.state.cold import MAX_COLD_SECONDS, ColdUpstreams
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import domain_closer
 from hitchdeck_edge.state.registry import Registry
@@ -39,7 +39,7 @@
         ([(1, 3.0), (2, 0.0)], 0.0),
         ([(2, 0.0), (1, 3.0)], 0.0),
         ([(1, 0.0), (2, 3.0)], 3.0),
-        ([(1, 1e9)], LONGEST_COLD_SECONDS),
+        ([(1, 1e9)], MAX_COLD_SECONDS),
     ],
 )
 def test_the_latest_report_says_how_long_an_upstream_is_cold(
@@ -181,7 +181,7 @@
 
 def decider(clock: FakeClock, part: float) -> Decider:
     cold = ColdUpstreams(clock)
-    cold.report(NAME, 1, LONGEST_COLD_SECONDS)
+    cold.report(NAME, 1, MAX_COLD_SECONDS)
     budget = ColdBudget(clock, cold, lambda _pool: RATE)
     budget.part = lambda: part
     return Decider(budget)
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -28,8 +28,8 @@
     should_hand_off,
 )
 from hitchdeck_edge.state.relief import (
-    DISTRUST_SECONDS,
     TARGETS_TTL_SECONDS,
+    UNREACHABLE_SECONDS,
     ReliefTargets,
 )
 from standins.platform_site import Site, generation, running_site
@@ -181,9 +181,9 @@
     targets.offer(['a:1'])
     targets.offer([])
     assert targets.choose() == 'a:1'
-    targets.distrust(Address('a:1'))
+    targets.mark_unreachable(Address('a:1'))
     assert targets.choose() is None
-    clock.seconds += DISTRUST_SECONDS
+    clock.seconds += UNREACHABLE_SECONDS
     targets.offer(['a:1'])
     clock.seconds += TARGETS_TTL_SECONDS / 2
     assert targets.choose() == 'a:1'
