--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -10,7 +10,7 @@
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.scheduling.books import Ticket
+from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.serving.caller import Caller
 
 
@@ -43,7 +43,7 @@
 
     choice: Choice
     began: float
-    ticket: Ticket
+    ticket: OpenWorkEntry
     number: int
     ran_before: bool
     verdict: Verdict = Verdict.broken
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -24,7 +24,7 @@
 from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import Ticket
+from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.scheduling.chooser import Chooser
 
 STALE_ANSWERS = 2
@@ -115,7 +115,7 @@
 
     def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
-        ticket = Ticket(self.placement.books, name, choice.tokens)
+        ticket = OpenWorkEntry(self.placement.open_work, name, choice.tokens)
         number = 0
         if context.pool.engine is not None:
             number = self.link.track(choice.ticket, name, choice.tokens)
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -74,7 +74,7 @@
             await self._serve(box, first, stream)
         finally:
             self.attending -= 1
-            self.scheduler.leave(box.name)
+            self.scheduler.drop_box(box.name)
 
     def part(self) -> float:
         """Return the part of the fleet's boxes that this hub schedules for."""
@@ -100,7 +100,7 @@
             self.scheduler.shares.recall(account, int(demand.tokens))
         for work in frame.open:
             key = (box.name, int(work.id))
-            self.scheduler.enter(key, UpstreamName(work.upstream), int(work.unread))
+            self.scheduler.add_open(key, UpstreamName(work.upstream), int(work.unread))
         for started in frame.started:
             self.scheduler.start((box.name, int(started)))
         for started in frame.late_started:
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -97,14 +97,14 @@
         if not is_home:
             return
         self.home = hub
-        self.heard = self.known.books.now()
+        self.heard = self.known.open_work.now()
         if frame.boxes:
             self.budget.boxes = int(frame.boxes)
-        self._count_others(tally_of(frame), alike=1)
+        self._count_others(tally_of(frame), assumed_boxes=1)
 
     def _forget_others(self) -> None:
         """Stop to count on what the others had open too long ago."""
-        if self.known.books.now() - self.heard > DIGEST_SECONDS:
+        if self.known.open_work.now() - self.heard > DIGEST_SECONDS:
             self._count_alone()
 
     def _count_alone(self) -> None:
@@ -113,15 +113,15 @@
         Otherwise each box would take all engines for its own: after a restart
         a quarter of what boxes placed by themselves began late.
         """
-        self._count_others(Tally(), alike=max(1, self.budget.boxes))
+        self._count_others(Tally(), assumed_boxes=max(1, self.budget.boxes))
 
-    def _count_others(self, tally: Tally, *, alike: int) -> None:
-        books = self.known.books
+    def _count_others(self, tally: Tally, *, assumed_boxes: int) -> None:
+        open_work = self.known.open_work
         shares = self.known.scheduler.shares
-        books.others = tally
+        open_work.others = tally
         shares.others = tally
-        books.alike = alike
-        shares.alike = alike
+        open_work.assumed_boxes = assumed_boxes
+        shares.assumed_boxes = assumed_boxes
 
     def _tell_news(self, hub: Address, frame: BoxFrame) -> None:
         """Add what a hub lacks of the ends and verdicts that this box knows."""
@@ -145,7 +145,7 @@
         frame.suspicions.extend(encode_suspicion(one) for one in fresh)
 
     def _report(self, frame: BoxFrame) -> None:
-        frame.loads.extend(self.known.books.own.loads())
+        frame.loads.extend(self.known.open_work.own.loads())
         frame.demands.extend(self.known.scheduler.shares.demands())
 
     def _hello(self) -> Hello:
--- a/packages/edge/src/hitchdeck_edge/scheduling/books.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/books.py
@@ -5,38 +5,40 @@
 from hitchdeck_edge.state.tallies import Tally
 
 
-class Ticket:
+class OpenWorkEntry:
     """One request's entry in the books.
 
     ``tokens`` is what the engine must read before its first token.
     """
 
-    def __init__(self, books: 'Books', upstream: UpstreamName, tokens: int) -> None:
-        self.books = books
+    def __init__(
+        self, open_work: 'OpenWorkTable', upstream: UpstreamName, tokens: int
+    ) -> None:
+        self.open_work = open_work
         self.upstream = upstream
         self.tokens = tokens
-        self.opened = books.now()
-        self.expected = books.waiting(upstream) + tokens
+        self.opened = open_work.now()
+        self.expected = open_work.waiting(upstream) + tokens
         self.reading = True
         self.open = True
-        books.own.waiting[upstream] += tokens
-        books.own.running[upstream] += 1
+        open_work.own.waiting[upstream] += tokens
+        open_work.own.running[upstream] += 1
 
     def start(self) -> None:
         """Note the first token: the prompt has been read."""
         if self.reading:
             self.reading = False
-            self.books.own.waiting[self.upstream] -= self.tokens
+            self.open_work.own.waiting[self.upstream] -= self.tokens
 
     def close(self) -> None:
         """Note the end of the request."""
         self.start()
         if self.open:
             self.open = False
-            self.books.own.running[self.upstream] -= 1
+            self.open_work.own.running[self.upstream] -= 1
 
 
-class Books:
+class OpenWorkTable:
     """Waiting tokens and running requests by upstream.
 
     Attributes
@@ -52,16 +54,16 @@
         self.now = now
         self.own = Tally()
         self.others = Tally()
-        self.alike = 1
+        self.assumed_boxes = 1
 
     def waiting(self, name: UpstreamName) -> int:
         """Return the tokens that wait to be read at an upstream."""
-        own = self.own.waiting.get(name, 0) * self.alike
+        own = self.own.waiting.get(name, 0) * self.assumed_boxes
         return max(0, own + self.others.waiting.get(name, 0))
 
     def running(self, name: UpstreamName) -> int:
         """Return the requests that are open at an upstream."""
-        own = self.own.running.get(name, 0) * self.alike
+        own = self.own.running.get(name, 0) * self.assumed_boxes
         return max(0, own + self.others.running.get(name, 0))
 
     def keep(self, names: set[UpstreamName]) -> None:
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -17,7 +17,7 @@
 from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import Books, Ticket
+from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
 from hitchdeck_edge.scheduling.health import Health
 from hitchdeck_edge.scheduling.memory import PrefixMemory
@@ -84,18 +84,18 @@
     def __init__(
         self,
         registry: Registry,
-        books: Books,
+        open_work: OpenWorkTable,
         mechanisms: Mechanisms = ALL_MECHANISMS,
         areas: Areas = NO_AREAS,
         cold_rate: Callable[[PoolName], float] = _no_limit,
     ) -> None:
         self.registry = registry
-        self.books = books
+        self.open_work = open_work
         self.areas = areas
-        self.cold_budget = ColdBudget(books.now, registry.cold, cold_rate)
+        self.cold_budget = ColdBudget(open_work.now, registry.cold, cold_rate)
         self.mechanisms = mechanisms
-        self.health = Health(books.now)
-        self.memory = PrefixMemory(books.now)
+        self.health = Health(open_work.now)
+        self.memory = PrefixMemory(open_work.now)
         self.pace = Pace()
 
     def choose(self, query: PlacementQuery) -> Choice | None:
@@ -129,19 +129,19 @@
         ]
         return trusted or serving
 
-    def measure(self, ticket: Ticket, query: PlacementQuery) -> None:
+    def measure(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a first event took."""
-        seconds = self.books.now() - ticket.opened
+        seconds = self.open_work.now() - ticket.opened
         pace = self.pace.of(query.pool)
         self.pace.measure(query.pool, ticket.expected, seconds)
         expected = max(ticket.expected / pace, query.goal / 4)
         ratio = min(MOST_SLOWNESS, max(1, seconds / expected))
         self.health.measure_slowness(ticket.upstream, ratio)
 
-    def measure_run(self, ticket: Ticket, query: PlacementQuery) -> None:
+    def measure_run(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a request held its place."""
         if not ticket.reading:
-            self.pace.measure_run(query.pool, self.books.now() - ticket.opened)
+            self.pace.measure_run(query.pool, self.open_work.now() - ticket.opened)
 
     def forget_gone(self) -> None:
         """Drop what was learned of upstreams that are gone.
@@ -151,7 +151,7 @@
         self.registry.forget_ended()
         present = self.registry.records.keys() - self.registry.gone()
         self.memory.keep(present)
-        self.books.keep(present)
+        self.open_work.keep(present)
         self.health.keep(present)
 
     def soonest(self, query: PlacementQuery) -> Choice | None:
@@ -238,8 +238,8 @@
         tokens: int,
     ) -> tuple[float, int, Upstream]:
         again = max(0, tokens - prompt.parts[-1].tokens) if prompt.parts else 0
-        running = self.books.running(upstream.name)
-        waiting = self.books.waiting(upstream.name)
+        running = self.open_work.running(upstream.name)
+        waiting = self.open_work.waiting(upstream.name)
         cost = float(waiting + RUNNING_TOKENS * running + tokens)
         if self.mechanisms.reading_again:
             cost += AGAIN_WEIGHT * again
@@ -259,7 +259,9 @@
 
     def _wait(self, name: UpstreamName) -> int:
         """Return what is before a new request at an engine, in tokens."""
-        return self.books.waiting(name) + RUNNING_TOKENS * self.books.running(name)
+        return self.open_work.waiting(name) + RUNNING_TOKENS * self.open_work.running(
+            name
+        )
 
     def _wait_for_place(self, name: UpstreamName, query: PlacementQuery) -> float:
         """Return the expected seconds until an engine has a place.
@@ -267,7 +269,7 @@
         Its places become free one after the other over the time that a
         request holds one.
         """
-        ahead = self.books.running(name) - query.slots + 1
+        ahead = self.open_work.running(name) - query.slots + 1
         if ahead <= 0 or not self.mechanisms.places:
             return 0
         return ahead * self.pace.run_of(query.pool) / query.slots
@@ -287,7 +289,7 @@
         return self.health.slowness(upstream.name)
 
     def _is_full(self, upstream: Upstream, query: PlacementQuery) -> bool:
-        return self.books.running(upstream.name) >= query.slots
+        return self.open_work.running(upstream.name) >= query.slots
 
     def _plain_cost(self, upstream: Upstream, query: PlacementQuery) -> float:
         record = self.health.record(upstream.name)
@@ -296,7 +298,9 @@
         near = upstream.domain == query.domain or not self.mechanisms.near_first
         far = 1 if near else FAR_FACTOR
         jitter = random.uniform(1, JITTER_FACTOR)
-        return (self.books.running(upstream.name) + 1) * seconds * doubt * far * jitter
+        return (
+            (self.open_work.running(upstream.name) + 1) * seconds * doubt * far * jitter
+        )
 
 
 def _begin(choice: Choice) -> float:
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -17,7 +17,7 @@
 from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.scheduling.books import Books, Ticket
+from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
 from hitchdeck_edge.scheduling.patience import longest_queue
 from hitchdeck_edge.scheduling.placement import NO_AREAS, Areas, Placement
 from hitchdeck_edge.scheduling.shares import Shares
@@ -33,13 +33,13 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """One request that is open at an engine.
 
     ``query`` is absent where nothing is to be learned of it.
     """
 
-    ticket: Ticket
+    ticket: OpenWorkEntry
     query: PlacementQuery | None
 
 
@@ -60,13 +60,13 @@
         self.mechanisms = mechanisms
         self.placement = Placement(
             registry,
-            Books(now),
+            OpenWorkTable(now),
             mechanisms,
             areas,
             self._cold_rate,
         )
         self.now = now
-        self.open: dict[BoxTicket, Open] = {}
+        self.open: dict[BoxTicket, OpenRequest] = {}
 
     def decide(self, query: PlacementQuery) -> Choice | Refusal:
         """Choose an engine, or say why the request is refused."""
@@ -87,12 +87,12 @@
         """Decide, and enter the request in the books."""
         decision = self.decide(query)
         if isinstance(decision, Choice):
-            self.enter(key, decision.upstream.name, decision.tokens, query)
+            self.add_open(key, decision.upstream.name, decision.tokens, query)
             if query.prompt is not None:
                 self.placement.memory.note(decision.upstream.name, query.prompt)
         return decision
 
-    def enter(
+    def add_open(
         self,
         key: BoxTicket,
         upstream: UpstreamName,
@@ -101,8 +101,8 @@
     ) -> None:
         """Enter a request that is open at an engine."""
         self.end(key)
-        ticket = Ticket(self.placement.books, upstream, unread)
-        self.open[key] = Open(ticket, query)
+        ticket = OpenWorkEntry(self.placement.open_work, upstream, unread)
+        self.open[key] = OpenRequest(ticket, query)
 
     def start(self, key: BoxTicket, *, learn: bool = True) -> None:
         """Note the first event of a request; ``learn`` of its engine by it."""
@@ -124,7 +124,7 @@
             self.placement.measure_run(known.ticket, known.query)
         known.ticket.close()
 
-    def leave(self, box: str) -> None:
+    def drop_box(self, box: str) -> None:
         """Forget what a box has open: it names it to whoever comes next."""
         keys = [key for key in self.open if key[0] == box]
         for key in keys:
@@ -151,17 +151,17 @@
         it has cached.  Rather than refuse a request, it goes to another domain; within
         its share, another engine reads again what is cached.
         """
-        if query.resumes or self._begins_in_time(query, choice, standing):
+        if query.resumes or self._starts_in_time(query, choice, standing):
             return choice
         if not self.mechanisms.another_engine:
             return None
         far = self._choose_far(query, choice)
-        if far is not None and self._begins_in_time(query, far, standing):
+        if far is not None and self._starts_in_time(query, far, standing):
             return far
         if standing > 1:
             return None
         soonest = self.placement.soonest(query)
-        if soonest is None or not self._begins_in_time(query, soonest, standing):
+        if soonest is None or not self._starts_in_time(query, soonest, standing):
             return None
         return soonest
 
@@ -172,7 +172,7 @@
             return None
         return far
 
-    def _begins_in_time(
+    def _starts_in_time(
         self,
         query: PlacementQuery,
         choice: Choice,
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -95,7 +95,7 @@
         self.granted = WindowCount(window, now)
         self.recalled = WindowCount(window, now)
         self.others: Tally = Tally()
-        self.alike = 1
+        self.assumed_boxes = 1
         self.began = now()
 
     def ask(self, query: PlacementQuery) -> None:
@@ -145,7 +145,7 @@
         own = self.asked.tokens
         others = self.others.asked
         return {
-            name: float(own[name] * self.alike + others[name])
+            name: float(own[name] * self.assumed_boxes + others[name])
             for name in own.keys() | others.keys()
         }
 
--- a/packages/edge/src/hitchdeck_edge/state/knowledge.py
+++ b/packages/edge/src/hitchdeck_edge/state/knowledge.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.scheduling.books import OpenWorkTable
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
@@ -24,7 +24,7 @@
 
     documents: Documents
     registry: Registry
-    books: Books
+    open_work: OpenWorkTable
     scheduler: Scheduler
     quarantine: Quarantine
     evacuations: Evacuations
@@ -37,6 +37,8 @@
     registry = Registry(boot_seconds, news, hears_reports=False)
     scheduler = new_scheduler(settings, documents, registry)
     quarantine = Quarantine(boot_seconds, Signal())
-    books = scheduler.placement.books
+    open_work = scheduler.placement.open_work
     evacuations = Evacuations(domain_closer(registry, documents), news)
-    return FleetState(documents, registry, books, scheduler, quarantine, evacuations)
+    return FleetState(
+        documents, registry, open_work, scheduler, quarantine, evacuations
+    )
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -9,7 +9,7 @@
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
 from hitchdeck_edge.links.hubs import HubBook
-from hitchdeck_edge.scheduling.books import Ticket
+from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import Evacuations
@@ -31,7 +31,7 @@
     known = FleetState(
         Documents(read_document, Signal()),
         scheduler.placement.registry,
-        scheduler.placement.books,
+        scheduler.placement.open_work,
         scheduler,
         Quarantine(clock, Signal()),
         Evacuations(lambda _domains: None, Signal()),
@@ -71,9 +71,9 @@
     """The one box left of a flooded domain multiplied its own queue by the fleet."""
     clock = FakeClock()
     link = link_of(clock)
-    books = link.known.books
+    open_work = link.known.open_work
     for _ in range(OWN):
-        Ticket(books, ENGINE, 100)
+        OpenWorkEntry(open_work, ENGINE, 100)
     clock.seconds += seconds
     link.lose(HUB)
-    assert books.running(ENGINE) == running
+    assert open_work.running(ENGINE) == running
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.links.records import decode_upstream as decode_record
 from hitchdeck_edge.links.records import encode_upstream
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.scheduling.books import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from hitchdeck_platform.doors import decode_upstream
@@ -61,7 +61,7 @@
         self.clock = FakeClock()
         self.registry = Registry(self.clock, Signal())
         self.liveness = Liveness(self.registry, self.clock, PERIOD)
-        self.placement = Placement(self.registry, Books(self.clock))
+        self.placement = Placement(self.registry, OpenWorkTable(self.clock))
 
     def hear(self, *reports: Upstream) -> None:
         for one in reports:
@@ -154,8 +154,8 @@
 
 
 def learn_load(hub: Hub, name: UpstreamName) -> None:
-    hub.placement.books.own.running[name] += 3
-    hub.placement.books.own.waiting[name] += 900
+    hub.placement.open_work.own.running[name] += 3
+    hub.placement.open_work.own.waiting[name] += 900
 
 
 Learn = Callable[[Hub, UpstreamName], None]
@@ -176,8 +176,8 @@
     assert placement.memory.uncached(after, prompt()) == prompt().tokens
     assert not placement.health.is_ejected(after)
     assert placement.health.slowness(after) == 1
-    assert placement.books.running(after) == 0
-    assert placement.books.waiting(after) == 0
+    assert placement.open_work.running(after) == 0
+    assert placement.open_work.waiting(after) == 0
 
 
 @given(
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -43,13 +43,13 @@
         scheduler.shares.ask(wanted('other'))
         scheduler.place(('box', number), replace(wanted(), resumes=True))
         scheduler.end(('box', number))
-    scheduler.enter(('box', 1), FIRST, 2000)
-    scheduler.enter(('box', 2), UpstreamName('e1'), 2000)
+    scheduler.add_open(('box', 1), FIRST, 2000)
+    scheduler.add_open(('box', 2), UpstreamName('e1'), 2000)
     return _placed_or_refused(scheduler)
 
 
 def nearest(scheduler: Scheduler) -> str:
-    scheduler.enter(('box', 1), FIRST, 100)
+    scheduler.add_open(('box', 1), FIRST, 100)
     return chosen(scheduler, wanted(tokens=10))
 
 
@@ -67,7 +67,7 @@
 
 def crowded(scheduler: Scheduler) -> str:
     for number in range(60):
-        scheduler.enter(('box', number), UpstreamName(f'e{number % 2}'), 0)
+        scheduler.add_open(('box', number), UpstreamName(f'e{number % 2}'), 0)
     return _placed_or_refused(scheduler)
 
 
@@ -80,13 +80,13 @@
 
 def busy_with_the_subject(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 40_000)
+    scheduler.add_open(('box', 1), FIRST, 40_000)
     return chosen(scheduler, one)
 
 
 def worth_the_wait(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 12_000)
+    scheduler.add_open(('box', 1), FIRST, 12_000)
     return chosen(scheduler, one)
 
 
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -54,7 +54,7 @@
         one = replace(wanted(subject=str(number), tokens=tokens), domain=domain)
         scheduler.place(('box', number), replace(one, body_bytes=9000))
     waits = {
-        name: scheduler.placement.books.waiting(name)
+        name: scheduler.placement.open_work.waiting(name)
         for name in scheduler.placement.registry.names()
     }
     # Nearby an engine may have the wait of the preference before others are used.
@@ -81,7 +81,7 @@
     for name in scheduler.placement.registry.names():
         scheduler.placement.memory.note(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 1500)
+            scheduler.add_open((name, 0), name, 1500)
     assert (place(scheduler, one).upstream.domain == 'a') is stays
 
 
@@ -109,7 +109,7 @@
     for name in scheduler.placement.registry.names():
         scheduler.placement.memory.note(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 2500)
+            scheduler.add_open((name, 0), name, 2500)
     assert isinstance(scheduler.place(('box', 0), one), Choice)
 
 
@@ -118,5 +118,5 @@
     for number in range(ENGINES):
         for run in range(40):
             name = UpstreamName(f'a{number}')
-            scheduler.enter((name, run), name, 5000)
+            scheduler.add_open((name, run), name, 5000)
     assert place(scheduler, asked('new', 'a')).upstream.domain != 'a'
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.scheduling.books import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from tests.common.scheduling import FakeClock, engine, prompt
@@ -17,7 +17,7 @@
 def test_only_upstreams_that_are_gone_are_forgotten(phase: Phase) -> None:
     clock = FakeClock()
     registry = Registry(clock, Signal())
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
     placement.memory.note(UpstreamName('e0'), prompt())
     placement.health.err(UpstreamName('e0'))
@@ -48,7 +48,7 @@
     # Found by reading: one that fell silent for good was remembered for ever.
     clock = FakeClock()
     registry = Registry(clock, Signal())
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
     placement.memory.note(UpstreamName('e0'), prompt())
     registry.mark_unresponsive(0.0)
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -173,7 +173,7 @@
         link.track(choice.ticket, choice.upstream.name, choice.tokens)
         link.start(choice.ticket)
         async with asyncio.timeout(15):
-            while scheduler.placement.books.waiting(choice.upstream.name):
+            while scheduler.placement.open_work.waiting(choice.upstream.name):
                 await asyncio.sleep(0.01)
         link.end(choice.ticket)
         async with asyncio.timeout(15):
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -10,7 +10,7 @@
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.scheduling.books import OpenWorkTable
 from hitchdeck_edge.scheduling.memory import PrefixMemory
 from hitchdeck_edge.scheduling.patience import longest_queue
 from hitchdeck_edge.scheduling.placement import Placement
@@ -82,7 +82,7 @@
     first = scheduler.place(('box', 0), wanted(tokens=20_000))
     assert isinstance(first, Choice)
     scheduler.start(('box', 0))
-    scheduler.enter(('box', 1), first.upstream.name, 40_000)
+    scheduler.add_open(('box', 1), first.upstream.name, 40_000)
     second = scheduler.decide(wanted(tokens=20_000))
     assert isinstance(second, Choice)
     assert second.upstream.name != first.upstream.name
@@ -92,12 +92,14 @@
     scheduler = scheduler_of(FakeClock(), 4)
     for number in range(40):
         scheduler.place(('box', number), wanted(subject=str(number)))
-    books = scheduler.placement.books
-    loads = [books.running(UpstreamName(f'e{number}')) for number in range(4)]
+    open_work = scheduler.placement.open_work
+    loads = [open_work.running(UpstreamName(f'e{number}')) for number in range(4)]
     assert max(loads) - min(loads) <= 2
-    scheduler.leave('box')
+    scheduler.drop_box('box')
     assert not scheduler.open
-    assert all(books.running(UpstreamName(f'e{number}')) == 0 for number in range(4))
+    assert all(
+        open_work.running(UpstreamName(f'e{number}')) == 0 for number in range(4)
+    )
 
 
 def test_what_would_begin_far_too_late_is_refused_at_once() -> None:
@@ -134,7 +136,7 @@
         clock.seconds += held
         scheduler.end(('box', number))
     for number in range(running):
-        scheduler.enter(('box', number), UpstreamName('e0'), 0)
+        scheduler.add_open(('box', number), UpstreamName('e0'), 0)
     choice = scheduler.placement.choose(wanted())
     assert choice is not None
     assert choice.queue == pytest.approx(expected, abs=0.02)
@@ -218,7 +220,7 @@
     registry = Registry(clock, Signal())
     registry.merge(engine('left', Phase.leaving), 'test')
     registry.merge(engine('tried'), 'test')
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     tried = frozenset((UpstreamName('tried'),))
     again = replace(wanted(), slots=0, tried=tried)
     assert placement.choose(again) is None
@@ -280,15 +282,15 @@
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, 4000)
-    scheduler.shares.alike = alike
-    scheduler.placement.books.alike = alike
+    scheduler.shares.assumed_boxes = alike
+    scheduler.placement.open_work.assumed_boxes = alike
     for _ in range(100):
         clock.seconds += 0.04
         scheduler.shares.ask(wanted())
     for number in range(served):
         scheduler.place(('box', number), replace(wanted(), resumes=True))
     assert scheduler.shares.standing(account('ann')) == pytest.approx(1, abs=0.1)
-    assert scheduler.placement.books.running(UpstreamName('e0')) == 16
+    assert scheduler.placement.open_work.running(UpstreamName('e0')) == 16
 
 
 def test_nothing_is_counted_without_a_document() -> None:
