--- a/bench/lab/play.py
+++ b/bench/lab/play.py
@@ -132,7 +132,9 @@
         engine = self.engines[decision.upstream.name]
         if not engine.alive:
             self.scheduler.end(key)
-            self.scheduler.placement.health.fail(decision.upstream.name, 'dead')
+            self.scheduler.placement.health.record_failure(
+                decision.upstream.name, 'dead'
+            )
             self._place(one, tried | {decision.upstream.name})
             return
         run = self._run_of(one, key, decision)
@@ -155,7 +157,7 @@
 
         def on_lost() -> None:
             scheduler.end(key)
-            scheduler.placement.health.fail(choice.upstream.name, 'lost')
+            scheduler.placement.health.record_failure(choice.upstream.name, 'lost')
             one.outcome = 'failed'
 
         return Run(
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -111,7 +111,7 @@
 
     def _note_crash(self, incarnation: LifeId) -> None:
         """Avoid an upstream here; hubs hear of its crash from the quarantine."""
-        self.placement.health.crash(UpstreamName(incarnation))
+        self.placement.health.record_crash(UpstreamName(incarnation))
 
     def _open_attempt(self, context: RequestContext, choice: Choice) -> Attempt:
         name = choice.upstream.name
@@ -177,7 +177,7 @@
         service.last = attempt
         prompt = context.call.prompt
         if prompt is not None and context.pool.engine is not None:
-            self.placement.memory.note(attempt.upstream, prompt)
+            self.placement.prefix_cache.record_prompt(attempt.upstream, prompt)
 
     async def _receive(
         self,
@@ -191,7 +191,7 @@
         attempt.pause = mark.pause
         attempt.leaving = mark.leaving
         if mark.other_incarnation:
-            self.placement.health.misplace(attempt.upstream)
+            self.placement.health.record_wrong_upstream(attempt.upstream)
         success = HTTPStatus.OK <= head.status < HTTPStatus.MULTIPLE_CHOICES
         if success and not mark.sealed:
             raise BrokenAnswerError('a success that the upstream does not vouch for')
@@ -266,14 +266,14 @@
         if attempt.verdict in {Verdict.answered, Verdict.failed}:
             self.quarantine.note_answer(service.context.fingerprint)
         if attempt.verdict is Verdict.answered:
-            health.succeed(attempt.upstream, self.now() - attempt.began)
+            health.record_success(attempt.upstream, self.now() - attempt.began)
             return
         if attempt.verdict is Verdict.broken:
-            health.fail(attempt.upstream, attempt.reason)
+            health.record_failure(attempt.upstream, attempt.reason)
             self.link.fail(attempt.upstream)
             self.doubt(service, attempt)
         else:
-            health.err(attempt.upstream)
+            health.record_error(attempt.upstream)
         if attempt.verdict is Verdict.not_run:
             service.context.may_have_run = attempt.ran_before
         logs.info(
@@ -302,6 +302,6 @@
             upstream=choice.upstream.name,
             reason=str(error),
         )
-        self.placement.health.fail(choice.upstream.name, 'not reached')
+        self.placement.health.record_failure(choice.upstream.name, 'not reached')
         self.link.fail(choice.upstream.name)
         self.connections.drop(choice.upstream.name)
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -59,7 +59,7 @@
         self.fleet = fleet
         self.streams = 0
         self.attending = 0
-        scheduler.placement.cold_budget.part = self.part
+        scheduler.placement.cold_budget.rate_fraction = self.part
 
     async def Attend(self, stream: Stream[PlacingFrame, PlacedFrame]) -> None:
         """Serve one box until either side ends the stream."""
@@ -109,7 +109,7 @@
             self.scheduler.end((box.name, int(ended)))
         for failed in frame.failed:
             health = self.scheduler.placement.health
-            health.fail(UpstreamName(failed), f'reported by {box.name}')
+            health.record_failure(UpstreamName(failed), f'reported by {box.name}')
 
     def _place(self, box: _Box, message: WantedMessage) -> Placed:
         document = self.scheduler.documents.document
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -162,7 +162,7 @@
     )
     chooser = Chooser(settings.domain, fleet_state.scheduler, link)
     # A box that decides alone has the part of one box.
-    chooser.local.placement.cold_budget.part = budget.part_of_fleet
+    chooser.local.placement.cold_budget.rate_fraction = budget.part_of_fleet
     connections = Connections(boot_seconds)
     quarantine = fleet_state.quarantine
     sender = Sender(adapter, chooser, connections, quarantine, boot_seconds)
--- a/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
@@ -17,11 +17,11 @@
 from hitchdeck_edge.model.upstreams import Upstream
 from hitchdeck_edge.state.cold import ColdUpstreams
 
-USED_PART = 0.8
+USED_FRACTION = 0.8
 """Part of the stated rate that is used: sends that are spaced here arrive less evenly,
 and some are decided before an upstream is known to be cold."""
 
-SLOT_SECONDS = 0.5
+SLOT_TTL_SECONDS = 0.5
 """How long a slot can be used."""
 
 _NEVER = 1e6
@@ -31,10 +31,10 @@
 
 
 @dataclass(slots=True)
-class Slots:
+class SendSlots:
     """When the next slot of a cold upstream begins, and the time between two."""
 
-    begins: float
+    next_at: float
     interval: float
 
 
@@ -58,8 +58,8 @@
         self.now = now
         self.cold = cold
         self.rate_of = rate_of
-        self.part: Callable[[], float] = _whole
-        self.slots: dict[UpstreamName, Slots] = {}
+        self.rate_fraction: Callable[[], float] = _full_rate
+        self.slots: dict[UpstreamName, SendSlots] = {}
 
     def usable(self, upstreams: Collection[Upstream]) -> list[Upstream]:
         """Return the upstreams that may be sent a request now."""
@@ -67,31 +67,31 @@
         if not cold:
             self.slots.clear()
             return list(upstreams)
-        return [one for one in upstreams if one.name not in cold or self._is_open(one)]
+        return [one for one in upstreams if one.name not in cold or self._has_slot(one)]
 
     def spend(self, upstream: Upstream) -> None:
         """Count a request that is sent to an upstream."""
         slots = self.slots.get(upstream.name)
         if slots is not None:
-            slots.begins = max(slots.begins + slots.interval, self.now())
+            slots.next_at = max(slots.next_at + slots.interval, self.now())
 
-    def _is_open(self, upstream: Upstream) -> bool:
+    def _has_slot(self, upstream: Upstream) -> bool:
         rate = self.rate_of(upstream.pool)
         if not rate:
             return True
-        interval = 1 / max(rate * USED_PART * self.part(), 1 / _NEVER)
+        interval = 1 / max(rate * USED_FRACTION * self.rate_fraction(), 1 / _NEVER)
         now = self.now()
         slots = self.slots.get(upstream.name)
         if slots is None:
             # At random, so that boxes which learn of it at once take turns.
-            slots = Slots(now + random.uniform(0, interval), interval)
+            slots = SendSlots(now + random.uniform(0, interval), interval)
             self.slots[upstream.name] = slots
         slots.interval = interval
-        if now - slots.begins > SLOT_SECONDS:
-            missed = math.ceil((now - SLOT_SECONDS - slots.begins) / interval)
-            slots.begins += missed * interval
-        return now >= slots.begins
+        if now - slots.next_at > SLOT_TTL_SECONDS:
+            missed = math.ceil((now - SLOT_TTL_SECONDS - slots.next_at) / interval)
+            slots.next_at += missed * interval
+        return now >= slots.next_at
 
 
-def _whole() -> float:
+def _full_rate() -> float:
     return 1
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -20,8 +20,8 @@
 from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
 from hitchdeck_edge.scheduling.health import Health
-from hitchdeck_edge.scheduling.memory import PrefixMemory
-from hitchdeck_edge.scheduling.pace import Pace
+from hitchdeck_edge.scheduling.memory import PrefixCacheModel
+from hitchdeck_edge.scheduling.pace import EngineSpeed
 from hitchdeck_edge.state.registry import Registry
 
 RUNNING_TOKENS = 40
@@ -95,8 +95,8 @@
         self.cold_budget = ColdBudget(open_work.now, registry.cold, cold_rate)
         self.mechanisms = mechanisms
         self.health = Health(open_work.now)
-        self.memory = PrefixMemory(open_work.now)
-        self.pace = Pace()
+        self.prefix_cache = PrefixCacheModel(open_work.now)
+        self.speed = EngineSpeed()
 
     def choose(self, query: PlacementQuery) -> Choice | None:
         """Return the best upstream that was not tried yet, if there is one."""
@@ -132,16 +132,16 @@
     def measure(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a first event took."""
         seconds = self.open_work.now() - ticket.opened
-        pace = self.pace.of(query.pool)
-        self.pace.measure(query.pool, ticket.expected, seconds)
-        expected = max(ticket.expected / pace, query.goal / 4)
+        speed = self.speed.read_rate(query.pool)
+        self.speed.measure(query.pool, ticket.expected, seconds)
+        expected = max(ticket.expected / speed, query.goal / 4)
         ratio = min(MOST_SLOWNESS, max(1, seconds / expected))
         self.health.measure_slowness(ticket.upstream, ratio)
 
     def measure_run(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a request held its place."""
         if not ticket.reading:
-            self.pace.measure_run(query.pool, self.open_work.now() - ticket.opened)
+            self.speed.measure_run(query.pool, self.open_work.now() - ticket.opened)
 
     def forget_gone(self) -> None:
         """Drop what was learned of upstreams that are gone.
@@ -150,7 +150,7 @@
         """
         self.registry.forget_ended()
         present = self.registry.records.keys() - self.registry.gone()
-        self.memory.keep(present)
+        self.prefix_cache.keep(present)
         self.open_work.keep(present)
         self.health.keep(present)
 
@@ -193,7 +193,7 @@
         query: PlacementQuery,
         tokens: int,
     ) -> Choice:
-        seconds = self._slowness(upstream) / self.pace.of(query.pool)
+        seconds = self._slowness(upstream) / self.speed.read_rate(query.pool)
         # What waits to be read holds places too, so the waits do not add up.
         place = self._wait_for_place(upstream.name, query)
         return Choice(
@@ -252,7 +252,7 @@
 
     def _near_tokens(self, query: PlacementQuery, prompt: Prompt, wait: int) -> float:
         """Return what an engine nearby with some tokens before it has in its favour."""
-        limit = NEAR_WAIT_PART * query.goal * self.pace.of(query.pool)
+        limit = NEAR_WAIT_PART * query.goal * self.speed.read_rate(query.pool)
         idle_part = max(0, 1 - wait / max(1, limit))
         crossing = query.body_bytes + MADE_BYTES * prompt.expected_output_tokens
         return NEAR_TOKENS + idle_part * FAR_TOKENS_PER_BYTE * crossing
@@ -272,13 +272,13 @@
         ahead = self.open_work.running(name) - query.slots + 1
         if ahead <= 0 or not self.mechanisms.places:
             return 0
-        return ahead * self.pace.run_of(query.pool) / query.slots
+        return ahead * self.speed.mean_run_seconds(query.pool) / query.slots
 
     def _unread_at(self, upstreams: list[Upstream], prompt: Prompt) -> list[int]:
         """Return what of a prompt each engine must read, as far as known."""
         if not self.mechanisms.prefix_memory:
             return [prompt.tokens for _ in upstreams]
-        return self.memory.uncached_at([one.name for one in upstreams], prompt)
+        return self.prefix_cache.uncached_at([one.name for one in upstreams], prompt)
 
     def _is_in(self, upstream: Upstream, areas: frozenset[str]) -> bool:
         return self.areas.get(upstream.domain) in areas
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -89,7 +89,9 @@
         if isinstance(decision, Choice):
             self.add_open(key, decision.upstream.name, decision.tokens, query)
             if query.prompt is not None:
-                self.placement.memory.note(decision.upstream.name, query.prompt)
+                self.placement.prefix_cache.record_prompt(
+                    decision.upstream.name, query.prompt
+                )
         return decision
 
     def add_open(
@@ -209,7 +211,7 @@
         self.shares.capacity = document.limits.tokens_per_second
         pool = document.pools.get(query.pool)
         if pool is not None and pool.engine is not None:
-            self.placement.memory.size = pool.engine.memory_tokens
+            self.placement.prefix_cache.size = pool.engine.memory_tokens
         self.shares.ask(query)
         if not self.mechanisms.shares:
             return 0
--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -136,8 +136,8 @@
     reader = PaperEngine(clock, pace)
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, stated or pace)
-    scheduler.placement.pace.tokens[POOL] = pace
-    scheduler.placement.pace.seconds[POOL] = 1
+    scheduler.placement.speed.tokens[POOL] = pace
+    scheduler.placement.speed.seconds[POOL] = 1
     granted: Counter[str] = Counter()
     for number, name in enumerate(arriving(asks, clock, seconds), 1):
         for finished in reader.finished():
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -155,7 +155,7 @@
     offer(local, 10_000_000, coldS=3.0, coldPerS=RATE)
     cold = local.placement.registry.cold
     cold.report(NAME, 9, 10.0)
-    local.placement.cold_budget.part = float
+    local.placement.cold_budget.rate_fraction = float
     choice = Choice(engine('e0'), 0, 0)
     chooser = Chooser('a', local, Answering(clock, choice))
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
@@ -183,7 +183,7 @@
     cold = ColdUpstreams(clock)
     cold.report(NAME, 1, MAX_COLD_SECONDS)
     budget = ColdBudget(clock, cold, lambda _pool: RATE)
-    budget.part = lambda: part
+    budget.rate_fraction = lambda: part
     return Decider(budget)
 
 
--- a/tests/edge/test_health.py
+++ b/tests/edge/test_health.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hitchdeck_core.ids import UpstreamName
-from hitchdeck_edge.scheduling.health import LONGEST_EJECTION_SECONDS, Health
+from hitchdeck_edge.scheduling.health import MAX_EJECTION_SECONDS, Health
 from tests.common.scheduling import FakeClock
 
 NAME = UpstreamName('e0')
@@ -20,8 +20,8 @@
     clock = FakeClock()
     health = Health(clock)
     for _ in range(failures):
-        health.fail(NAME, 'test')
-    assert ejected <= LONGEST_EJECTION_SECONDS
+        health.record_failure(NAME, 'test')
+    assert ejected <= MAX_EJECTION_SECONDS
     clock.seconds += ejected - 0.001
     assert health.is_ejected(NAME)
     clock.seconds += 0.002
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -142,11 +142,11 @@
 
 
 def learn_memory(hub: Hub, name: UpstreamName) -> None:
-    hub.placement.memory.note(name, prompt())
+    hub.placement.prefix_cache.record_prompt(name, prompt())
 
 
 def learn_failures(hub: Hub, name: UpstreamName) -> None:
-    hub.placement.health.fail(name, 'test')
+    hub.placement.health.record_failure(name, 'test')
 
 
 def learn_slowness(hub: Hub, name: UpstreamName) -> None:
@@ -173,7 +173,7 @@
     hub.hear(report(SECOND, 1))
     after = hub.names()[0]
     placement = hub.placement
-    assert placement.memory.uncached(after, prompt()) == prompt().tokens
+    assert placement.prefix_cache.uncached(after, prompt()) == prompt().tokens
     assert not placement.health.is_ejected(after)
     assert placement.health.slowness(after) == 1
     assert placement.open_work.running(after) == 0
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -55,7 +55,7 @@
 
 def failed(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
-    scheduler.placement.health.fail(FIRST, 'test')
+    scheduler.placement.health.record_failure(FIRST, 'test')
     return chosen(scheduler, one)
 
 
@@ -74,7 +74,7 @@
 def cached(scheduler: Scheduler) -> str:
     one = long_one(scheduler)
     assert one.prompt is not None
-    scheduler.placement.memory.note(UpstreamName('e1'), one.prompt)
+    scheduler.placement.prefix_cache.record_prompt(UpstreamName('e1'), one.prompt)
     return chosen(scheduler, one)
 
 
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
-from hitchdeck_edge.scheduling.pace import DEFAULT_PACE
+from hitchdeck_edge.scheduling.pace import DEFAULT_READ_RATE
 from hitchdeck_edge.scheduling.placement import NEAR_WAIT_PART
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
@@ -58,7 +58,7 @@
         for name in scheduler.placement.registry.names()
     }
     # Nearby an engine may have the wait of the preference before others are used.
-    slack = NEAR_WAIT_PART * 0.6 * DEFAULT_PACE + 2 * tokens
+    slack = NEAR_WAIT_PART * 0.6 * DEFAULT_READ_RATE + 2 * tokens
     assert max(waits.values()) - min(waits.values()) <= slack
     assert all(waits.values())
 
@@ -79,7 +79,7 @@
     one = replace(asked('known', 'a'), body_bytes=body_bytes)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
             scheduler.add_open((name, 0), name, 1500)
     assert (place(scheduler, one).upstream.domain == 'a') is stays
@@ -107,7 +107,7 @@
     one = replace(wanted('ann', subject='known'), domain='a', body_bytes=40_000)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
             scheduler.add_open((name, 0), name, 2500)
     assert isinstance(scheduler.place(('box', 0), one), Choice)
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -19,12 +19,12 @@
     registry = Registry(clock, Signal())
     placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
-    placement.memory.note(UpstreamName('e0'), prompt())
-    placement.health.err(UpstreamName('e0'))
+    placement.prefix_cache.record_prompt(UpstreamName('e0'), prompt())
+    placement.health.record_error(UpstreamName('e0'))
     registry.merge(replace(engine('e0'), sequence=2, phase=phase), 'test')
     placement.forget_gone()
     known = phase is Phase.serving
-    assert bool(placement.memory.engines) is known
+    assert bool(placement.prefix_cache.engines) is known
     assert bool(placement.health.records) is known
     assert registry.records
     clock.seconds += GONE_RETENTION_SECONDS + 1
@@ -50,11 +50,11 @@
     registry = Registry(clock, Signal())
     placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
-    placement.memory.note(UpstreamName('e0'), prompt())
+    placement.prefix_cache.record_prompt(UpstreamName('e0'), prompt())
     registry.mark_unresponsive(0.0)
     clock.seconds += 1
     registry.mark_unresponsive(0.5)
     clock.seconds += GONE_RETENTION_SECONDS + 1
     placement.forget_gone()
     assert not registry.records
-    assert not placement.memory.engines
+    assert not placement.prefix_cache.engines
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -180,6 +180,6 @@
             while scheduler.open:
                 await asyncio.sleep(0.01)
     server.close()
-    pace = scheduler.placement.pace
-    assert bool(pace.seconds) == learned
-    assert bool(pace.run_seconds) == learned
+    speed = scheduler.placement.speed
+    assert bool(speed.seconds) == learned
+    assert bool(speed.run_seconds) == learned
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -11,7 +11,7 @@
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.scheduling.books import OpenWorkTable
-from hitchdeck_edge.scheduling.memory import PrefixMemory
+from hitchdeck_edge.scheduling.memory import PrefixCacheModel
 from hitchdeck_edge.scheduling.patience import longest_queue
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.scheduling.shares import even_level
@@ -313,14 +313,14 @@
     sent_between: list[int],
     unread: int,
 ) -> None:
-    memory = PrefixMemory(FakeClock())
-    memory.size = 4000
+    prefix_cache = PrefixCacheModel(FakeClock())
+    prefix_cache.size = 4000
     first = Prompt(1000, 0, (Part(PartId('first'), 1000),))
-    memory.note(UpstreamName('e0'), first)
+    prefix_cache.record_prompt(UpstreamName('e0'), first)
     for number, tokens in enumerate(sent_between):
         between = Part(PartId(str(number)), tokens)
-        memory.note(UpstreamName('e0'), Prompt(tokens, 0, (between,)))
-    assert memory.uncached(UpstreamName('e0'), first) == unread
+        prefix_cache.record_prompt(UpstreamName('e0'), Prompt(tokens, 0, (between,)))
+    assert prefix_cache.uncached(UpstreamName('e0'), first) == unread
 
 
 def test_a_prompt_that_was_never_sent_is_not_cached_right_after_boot() -> None:
@@ -328,7 +328,7 @@
     # counted as sent then.
     clock = FakeClock()
     clock.seconds = 5.0
-    memory = PrefixMemory(clock)
-    memory.note(UpstreamName('e0'), prompt(subject='other'))
+    prefix_cache = PrefixCacheModel(clock)
+    prefix_cache.record_prompt(UpstreamName('e0'), prompt(subject='other'))
     fresh = Prompt(1000, 0, (Part(PartId('s'), 500), Part(PartId('new'), 500)))
-    assert memory.uncached(UpstreamName('e0'), fresh) == 1000
+    assert prefix_cache.uncached(UpstreamName('e0'), fresh) == 1000
