--- a/bench/causes.py
+++ b/bench/causes.py
@@ -19,7 +19,7 @@
 
 from bench.owed import Cell, cell_of, owed_parts
 from hitchdeck_core.ids import AccountName
-from hitchdeck_edge.scheduling.shares import MADE_WEIGHT
+from hitchdeck_edge.scheduling.shares import OUTPUT_TOKEN_WEIGHT
 
 LATE_PART = 0.5
 """What an answer that comes late is worth, of one in time."""
@@ -114,7 +114,7 @@
         account=AccountName(first['account']),
         route=first['route'],
         at=max(0.0, first['at'] - first['seconds']),
-        tokens=first['prompt'] + MADE_WEIGHT * first['expected_made'],
+        tokens=first['prompt'] + OUTPUT_TOKEN_WEIGHT * first['expected_made'],
         cause=cause,
         earned=earned,
     )
--- a/packages/edge/src/hitchdeck_edge/hub/placing.py
+++ b/packages/edge/src/hitchdeck_edge/hub/placing.py
@@ -97,7 +97,7 @@
     def _take_progress(self, box: _Box, frame: PlacingFrame) -> None:
         for demand in frame.demands:
             account = AccountName(demand.account)
-            self.scheduler.shares.recall(account, int(demand.tokens))
+            self.scheduler.shares.count_elsewhere(account, int(demand.tokens))
         for work in frame.open:
             key = (box.name, int(work.id))
             self.scheduler.add_open(key, UpstreamName(work.upstream), int(work.unread))
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -43,7 +43,7 @@
             if not self.local.placement.eligible(query):
                 return Refusal.no_upstream
         if not query.slots or query.prompt is None:
-            return self._choose_plain(query)
+            return self._choose_service(query)
         scheduler = self.link.scheduler
         asks = self.local.mechanisms.scheduler
         decision = await self.link.place(query) if asks else None
@@ -57,7 +57,7 @@
             self.local.shares.grant(query)
         return decision
 
-    def _choose_plain(self, query: PlacementQuery) -> Choice | Refusal:
+    def _choose_service(self, query: PlacementQuery) -> Choice | Refusal:
         choice = self.local.placement.choose(query)
         if choice is None:
             return Refusal.no_upstream
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -31,13 +31,13 @@
 FULL_TOKENS = 20_000
 """Added where all places are taken: about the time until one is free."""
 
-AGAIN_WEIGHT = 8
+REREAD_WEIGHT = 8
 """How much reading a shared part once more weighs against waiting.  Beside
 the time it takes, it takes time from everybody else, and makes the engine give
 up other parts: at 4, 8 and 16 it cost 0.069, 0.062 and 0.059 of what was owed,
 and 0.754, 0.764 and 0.761 was earned (means of three busy plays in virtual time)."""
 
-MOST_SLOWNESS = 4.0
+MAX_SLOWNESS = 4.0
 """Cap on one measurement of slowness: a single late answer says little."""
 
 NEAR_TOKENS = 250
@@ -47,10 +47,10 @@
 FAR_TOKENS_PER_BYTE = 0.7
 """What a byte that crosses failure domains counts for, in tokens to be read."""
 
-MADE_BYTES = 20
+BYTES_PER_OUTPUT_TOKEN = 20
 """Bytes of an answer for each token made, with its framing."""
 
-NEAR_WAIT_PART = 0.15
+NEAR_WAIT_FRACTION = 0.15
 """Part of a request's goal: an engine nearby with a longer wait is preferred only by
 ``NEAR_TOKENS``, so that a domain's flood spreads over all engines."""
 
@@ -63,7 +63,7 @@
 JITTER_FACTOR = 1.05
 """Spreads the choice between equals, which all boxes would make alike."""
 
-LEAST_SECONDS = 0.005
+MIN_SERVICE_SECONDS = 0.005
 """Floor of a plain service's measured time, so that a fast one is not taken
 for free."""
 
@@ -104,7 +104,7 @@
         if not candidates:
             return None
         if not query.slots or query.prompt is None:
-            best = min(candidates, key=lambda one: self._plain_cost(one, query))
+            best = min(candidates, key=lambda one: self._service_cost(one, query))
             return Choice(best, 0, 0)
         return self._choose_engine(query, query.prompt, candidates)
 
@@ -135,7 +135,7 @@
         speed = self.speed.read_rate(query.pool)
         self.speed.measure(query.pool, ticket.expected, seconds)
         expected = max(ticket.expected / speed, query.goal / 4)
-        ratio = min(MOST_SLOWNESS, max(1, seconds / expected))
+        ratio = min(MAX_SLOWNESS, max(1, seconds / expected))
         self.health.measure_slowness(ticket.upstream, ratio)
 
     def measure_run(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
@@ -167,7 +167,7 @@
             self._choice(one, query, tokens)
             for one, tokens in zip(free, self._unread_at(free, prompt), strict=True)
         ]
-        return min(choices, key=_begin, default=None)
+        return min(choices, key=_first_token_seconds, default=None)
 
     def _choose_engine(
         self,
@@ -176,12 +176,14 @@
         candidates: list[Upstream],
     ) -> Choice:
         unread = self._unread_at(candidates, prompt)
-        holder = self._holder(prompt, self._nearby(candidates, query), min(unread))
+        holder = self._assumed_holder(
+            prompt, self._nearby(candidates, query), min(unread)
+        )
         own = prompt.parts[-1].tokens if prompt.parts else 0
         weighed = [
-            self._weigh(one, prompt, query, min(own, tokens))
+            self._engine_cost(one, prompt, query, min(own, tokens))
             if one.name == holder
-            else self._weigh(one, prompt, query, tokens)
+            else self._engine_cost(one, prompt, query, tokens)
             for one, tokens in zip(candidates, unread, strict=True)
         ]
         _, tokens, best = min(weighed, key=lambda entry: entry[0])
@@ -195,11 +197,11 @@
     ) -> Choice:
         seconds = self._slowness(upstream) / self.speed.read_rate(query.pool)
         # What waits to be read holds places too, so the waits do not add up.
-        place = self._wait_for_place(upstream.name, query)
+        place = self._slot_wait_seconds(upstream.name, query)
         return Choice(
             upstream,
             tokens,
-            queue=max(place, self._wait(upstream.name) * seconds),
+            queue=max(place, self._tokens_ahead(upstream.name) * seconds),
             reading=tokens * seconds,
         )
 
@@ -211,7 +213,7 @@
             return candidates
         return [one for one in candidates if one.domain == query.domain] or candidates
 
-    def _holder(
+    def _assumed_holder(
         self,
         prompt: Prompt,
         candidates: list[Upstream],
@@ -230,40 +232,42 @@
         key = parts[-2].part_id if len(parts) > 1 else parts[0].part_id
         return ranked(key, [one.name for one in candidates])[0]
 
-    def _weigh(
+    def _engine_cost(
         self,
         upstream: Upstream,
         prompt: Prompt,
         query: PlacementQuery,
         tokens: int,
     ) -> tuple[float, int, Upstream]:
-        again = max(0, tokens - prompt.parts[-1].tokens) if prompt.parts else 0
+        reread = max(0, tokens - prompt.parts[-1].tokens) if prompt.parts else 0
         running = self.open_work.running(upstream.name)
         waiting = self.open_work.waiting(upstream.name)
         cost = float(waiting + RUNNING_TOKENS * running + tokens)
         if self.mechanisms.reading_again:
-            cost += AGAIN_WEIGHT * again
+            cost += REREAD_WEIGHT * reread
         if running >= query.slots:
             cost += FULL_TOKENS
         cost *= self._slowness(upstream)
         if self.mechanisms.near_first and upstream.domain == query.domain:
-            cost -= self._near_tokens(query, prompt, self._wait(upstream.name))
+            cost -= self._near_tokens(query, prompt, self._tokens_ahead(upstream.name))
         return cost, tokens, upstream
 
     def _near_tokens(self, query: PlacementQuery, prompt: Prompt, wait: int) -> float:
         """Return what an engine nearby with some tokens before it has in its favour."""
-        limit = NEAR_WAIT_PART * query.goal * self.speed.read_rate(query.pool)
+        limit = NEAR_WAIT_FRACTION * query.goal * self.speed.read_rate(query.pool)
         idle_part = max(0, 1 - wait / max(1, limit))
-        crossing = query.body_bytes + MADE_BYTES * prompt.expected_output_tokens
+        crossing = (
+            query.body_bytes + BYTES_PER_OUTPUT_TOKEN * prompt.expected_output_tokens
+        )
         return NEAR_TOKENS + idle_part * FAR_TOKENS_PER_BYTE * crossing
 
-    def _wait(self, name: UpstreamName) -> int:
+    def _tokens_ahead(self, name: UpstreamName) -> int:
         """Return what is before a new request at an engine, in tokens."""
         return self.open_work.waiting(name) + RUNNING_TOKENS * self.open_work.running(
             name
         )
 
-    def _wait_for_place(self, name: UpstreamName, query: PlacementQuery) -> float:
+    def _slot_wait_seconds(self, name: UpstreamName, query: PlacementQuery) -> float:
         """Return the expected seconds until an engine has a place.
 
         Its places become free one after the other over the time that a
@@ -291,9 +295,9 @@
     def _is_full(self, upstream: Upstream, query: PlacementQuery) -> bool:
         return self.open_work.running(upstream.name) >= query.slots
 
-    def _plain_cost(self, upstream: Upstream, query: PlacementQuery) -> float:
+    def _service_cost(self, upstream: Upstream, query: PlacementQuery) -> float:
         record = self.health.record(upstream.name)
-        seconds = max(LEAST_SECONDS, record.seconds)
+        seconds = max(MIN_SERVICE_SECONDS, record.seconds)
         doubt = 1 + FAILURE_WEIGHT * record.failure_rate
         near = upstream.domain == query.domain or not self.mechanisms.near_first
         far = 1 if near else FAR_FACTOR
@@ -303,5 +307,5 @@
         )
 
 
-def _begin(choice: Choice) -> float:
+def _first_token_seconds(choice: Choice) -> float:
     return choice.queue + choice.reading
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -18,7 +18,7 @@
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
-from hitchdeck_edge.scheduling.patience import longest_queue
+from hitchdeck_edge.scheduling.patience import max_queue_seconds
 from hitchdeck_edge.scheduling.placement import NO_AREAS, Areas, Placement
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.settings import BoxSettings
@@ -70,18 +70,18 @@
 
     def decide(self, query: PlacementQuery) -> Choice | Refusal:
         """Choose an engine, or say why the request is refused."""
-        standing = self._count_asked(query)
+        share_used = self._count_asked(query)
         choice = self.placement.choose(query)
         if choice is None:
-            return self._refuse(query, Refusal.no_upstream, standing, 0)
-        accepted = self._accepted(query, choice, standing)
+            return self._refuse(query, Refusal.no_upstream, share_used, 0)
+        accepted = self._accepted(query, choice, share_used)
         if accepted is not None:
             self.placement.cold_budget.spend(accepted.upstream)
             if self.documents.document is not None:
                 self.shares.grant(query)
             return accepted
-        refusal = Refusal.over_share if standing > 1 else Refusal.overloaded
-        return self._refuse(query, refusal, standing, choice.queue)
+        refusal = Refusal.over_share if share_used > 1 else Refusal.overloaded
+        return self._refuse(query, refusal, share_used, choice.queue)
 
     def place(self, key: BoxTicket, query: PlacementQuery) -> Choice | Refusal:
         """Decide, and enter the request in the books."""
@@ -145,7 +145,7 @@
         self,
         query: PlacementQuery,
         choice: Choice,
-        standing: float,
+        share_used: float,
     ) -> Choice | None:
         """Return where a request may go within its time, if anywhere.
 
@@ -153,17 +153,17 @@
         it has cached.  Rather than refuse a request, it goes to another domain; within
         its share, another engine reads again what is cached.
         """
-        if query.resumes or self._starts_in_time(query, choice, standing):
+        if query.resumes or self._starts_in_time(query, choice, share_used):
             return choice
         if not self.mechanisms.another_engine:
             return None
         far = self._choose_far(query, choice)
-        if far is not None and self._starts_in_time(query, far, standing):
+        if far is not None and self._starts_in_time(query, far, share_used):
             return far
-        if standing > 1:
+        if share_used > 1:
             return None
         soonest = self.placement.soonest(query)
-        if soonest is None or not self._starts_in_time(query, soonest, standing):
+        if soonest is None or not self._starts_in_time(query, soonest, share_used):
             return None
         return soonest
 
@@ -178,17 +178,17 @@
         self,
         query: PlacementQuery,
         choice: Choice,
-        standing: float,
+        share_used: float,
     ) -> bool:
         yielding = self.mechanisms.yielding
-        longest = longest_queue(query, choice, standing, yielding=yielding)
+        longest = max_queue_seconds(query, choice, share_used, yielding=yielding)
         return choice.queue <= longest
 
     def _refuse(
         self,
         query: PlacementQuery,
         refusal: Refusal,
-        standing: float,
+        share_used: float,
         queue: float,
     ) -> Refusal:
         logs.info(
@@ -196,7 +196,7 @@
             request=query.request,
             account=query.account,
             reason=refusal.name,
-            standing=round(standing, 3),
+            standing=round(share_used, 3),
             queue=round(queue, 3),
             goal=query.goal,
             version=self.documents.version,
@@ -215,7 +215,7 @@
         self.shares.ask(query)
         if not self.mechanisms.shares:
             return 0
-        return self.shares.standing(query.account)
+        return self.shares.share_used(query.account)
 
 
 def new_scheduler(
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -17,10 +17,10 @@
 from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.state.tallies import Tally
 
-MADE_WEIGHT = 2
+OUTPUT_TOKEN_WEIGHT = 2
 """A token made counts as so many read: what the capacity is stated in."""
 
-LEAST_SPAN = 1.0
+MIN_SPAN_SECONDS = 1.0
 """Seconds of capacity that are shared at least.  Requests that begin to come
 find empty engines, but who comes first must not take a whole window's."""
 
@@ -93,10 +93,10 @@
         self.capacity = 0.0
         self.asked = WindowCount(window, now)
         self.granted = WindowCount(window, now)
-        self.recalled = WindowCount(window, now)
+        self.elsewhere = WindowCount(window, now)
         self.others: Tally = Tally()
         self.assumed_boxes = 1
-        self.began = now()
+        self.span_start = now()
 
     def ask(self, query: PlacementQuery) -> None:
         """Count a request."""
@@ -107,7 +107,7 @@
         """Count a request that is let through."""
         _count(self.granted, query)
 
-    def recall(self, account: AccountName, tokens: int) -> None:
+    def count_elsewhere(self, account: AccountName, tokens: int) -> None:
         """Count what was asked for elsewhere, as if it were asked now.
 
         A scheduler that has just taken over would otherwise grant a whole
@@ -115,9 +115,9 @@
         """
         self._note_span()
         self.asked.add(account, tokens)
-        self.recalled.add(account, tokens)
+        self.elsewhere.add(account, tokens)
 
-    def standing(self, account: AccountName) -> float:
+    def share_used(self, account: AccountName) -> float:
         """Return what an account got, as a part of the even level.
 
         Above 1 it has had more than its share; while all can be served it is
@@ -128,11 +128,11 @@
             return 0
         self.asked.expire()
         self.granted.expire()
-        self.recalled.expire()
+        self.elsewhere.expire()
         asked = self._asked_by_all()
         if not asked.get(account):
             return 0
-        level = even_level(asked, self._given(sum(asked.values())))
+        level = even_level(asked, self._window_capacity(sum(asked.values())))
         own_part = self.asked.tokens[account] / max(1, asked[account])
         return self.granted.tokens[account] / max(1, level * own_part)
 
@@ -152,9 +152,9 @@
     def _note_span(self) -> None:
         self.asked.expire()
         if not self.asked.total:
-            self.began = self.now()
+            self.span_start = self.now()
 
-    def _given(self, asked: float) -> float:
+    def _window_capacity(self, asked: float) -> float:
         """Return what the engines give in a window, in tokens.
 
         Right after a start it is what they gave since then.  Engines that have
@@ -167,9 +167,9 @@
         asked
             Tokens that were asked for in the window, of all boxes.
         """
-        span = max(LEAST_SPAN, self.now() - self.began)
+        span = max(MIN_SPAN_SECONDS, self.now() - self.span_start)
         stated = self.capacity * min(self.window, span)
-        decided = self.asked.total - self.recalled.total
+        decided = self.asked.total - self.elsewhere.total
         return min(stated, self.granted.total * asked / max(1, decided))
 
 
@@ -186,4 +186,4 @@
 
 def weight_of(prompt: Prompt) -> int:
     """Return a generation's size in the unit of the capacity."""
-    return prompt.tokens + MADE_WEIGHT * prompt.expected_output_tokens
+    return prompt.tokens + OUTPUT_TOKEN_WEIGHT * prompt.expected_output_tokens
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -8,7 +8,7 @@
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.scheduling.pace import DEFAULT_READ_RATE
-from hitchdeck_edge.scheduling.placement import NEAR_WAIT_PART
+from hitchdeck_edge.scheduling.placement import NEAR_WAIT_FRACTION
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.documents import Documents
@@ -58,7 +58,7 @@
         for name in scheduler.placement.registry.names()
     }
     # Nearby an engine may have the wait of the preference before others are used.
-    slack = NEAR_WAIT_PART * 0.6 * DEFAULT_READ_RATE + 2 * tokens
+    slack = NEAR_WAIT_FRACTION * 0.6 * DEFAULT_READ_RATE + 2 * tokens
     assert max(waits.values()) - min(waits.values()) <= slack
     assert all(waits.values())
 
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -54,10 +54,10 @@
     scheduler = scheduler_of(clock, 4)
     offer(scheduler, 4 * PACE)
     for name, tokens in (('large', 160_000), ('small', 8000), ('tiny', 4000)):
-        scheduler.shares.recall(account(name), tokens)
+        scheduler.shares.count_elsewhere(account(name), tokens)
     for number, name in enumerate(arriving({'large': 40, 'small': 2}, clock, 2)):
         key = ('box', number)
         assert isinstance(scheduler.place(key, wanted(name)), Choice)
         scheduler.start(key)
         scheduler.end(key)
-        assert scheduler.shares.standing(account(name)) <= 1
+        assert scheduler.shares.share_used(account(name)) <= 1
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -12,7 +12,7 @@
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.scheduling.books import OpenWorkTable
 from hitchdeck_edge.scheduling.memory import PrefixCacheModel
-from hitchdeck_edge.scheduling.patience import longest_queue
+from hitchdeck_edge.scheduling.patience import max_queue_seconds
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.scheduling.shares import even_level
 from hitchdeck_edge.state.registry import Registry
@@ -161,7 +161,7 @@
     offer(scheduler, 100)
     decisions = [scheduler.decide(wanted()) for _ in range(40)]
     assert set(decisions) == {Refusal.no_upstream}
-    assert scheduler.shares.standing(account('ann')) == 0
+    assert scheduler.shares.share_used(account('ann')) == 0
 
 
 def test_an_outage_saves_up_no_burst_of_share() -> None:
@@ -175,7 +175,7 @@
     scheduler.placement.registry.merge(engine('e0'), 'test')
     for _ in range(100):
         scheduler.place(('box', 0), wanted())
-    assert scheduler.shares.standing(account('ann')) > 1
+    assert scheduler.shares.share_used(account('ann')) > 1
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
     longest: float,
 ) -> None:
     choice = Choice(engine('e0'), unread, 0, reading=reading)
-    patience = longest_queue(wanted(tokens=tokens), choice, standing)
+    patience = max_queue_seconds(wanted(tokens=tokens), choice, standing)
     assert patience == pytest.approx(longest)
 
 
@@ -209,7 +209,7 @@
 def test_the_longest_wait_falls_without_a_step(unread: int) -> None:
     choice = Choice(engine('e0'), unread, 0)
     one = wanted(tokens=9000)
-    waits = [longest_queue(one, choice, step / 100) for step in range(800)]
+    waits = [max_queue_seconds(one, choice, step / 100) for step in range(800)]
     falls = [before - after for before, after in zip(waits, waits[1:], strict=False)]
     assert min(falls) >= 0
     assert max(falls) < one.goal / 20
@@ -245,11 +245,11 @@
     scheduler = scheduler_of(FakeClock(), 1)
     offer(scheduler, 4000)
     for name in 'abcd':
-        scheduler.shares.recall(account(name), 4000)
+        scheduler.shares.count_elsewhere(account(name), 4000)
     scheduler.decide(wanted('a'))
     scheduler.place(('box', 1), wanted('c', tokens=100_000))
     assert scheduler.decide(wanted('b')) is Refusal.overloaded
-    assert scheduler.shares.standing(account('a')) <= 1
+    assert scheduler.shares.share_used(account('a')) <= 1
 
 
 @pytest.mark.parametrize(
@@ -270,7 +270,7 @@
         scheduler.shares.ask(wanted())
     for _ in range(served):
         scheduler.shares.grant(wanted())
-    assert scheduler.shares.standing(account('ann')) == pytest.approx(1, abs=0.34)
+    assert scheduler.shares.share_used(account('ann')) == pytest.approx(1, abs=0.34)
 
 
 @pytest.mark.parametrize(('alike', 'served'), [(1, 16), (4, 4)])
@@ -289,7 +289,7 @@
         scheduler.shares.ask(wanted())
     for number in range(served):
         scheduler.place(('box', number), replace(wanted(), resumes=True))
-    assert scheduler.shares.standing(account('ann')) == pytest.approx(1, abs=0.1)
+    assert scheduler.shares.share_used(account('ann')) == pytest.approx(1, abs=0.1)
     assert scheduler.placement.open_work.running(UpstreamName('e0')) == 16
 
 
