--- a/packages/control/src/hitchdeck_control/fleet/watch.py
+++ b/packages/control/src/hitchdeck_control/fleet/watch.py
@@ -10,8 +10,8 @@
 from hitchdeck_control.fleet.directory import DirectoryState, difference
 from hitchdeck_control.fleet.leader import Leader
 from hitchdeck_control.fleet.presence import Presence
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Told
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
 from hitchdeck_core.wire.hitchdeck_pb2 import (
     ControlFrame,
     Lease,
@@ -32,7 +32,7 @@
 
     version: int
     directory: DirectoryState | None = None
-    quarantine: Told = NOTHING
+    quarantine: SyncPosition = SYNC_START
     usage_position: int = 0
     usage_at: float = float('-inf')
     behind_since: float | None = None
@@ -76,8 +76,8 @@
     leader.check_leads()
     leader.usage.merge(presence.hello.incarnation, beat.usage)
     if beat.HasField('quarantine'):
-        news = decode_news(beat.quarantine, leader.now())
-        leader.quarantine.take(news, presence.hello.router)
+        news = decode_update(beat.quarantine, leader.now())
+        leader.quarantine.merge(news, presence.hello.router)
     leader.routers.acknowledge(presence, int(beat.version), beat.leaving)
     frame = _news(leader, presence, sent)
     if _may_have_lease(leader, presence, sent):
@@ -120,9 +120,9 @@
     if sent.directory is not directory:
         frame.directory.CopyFrom(difference(sent.directory, directory))
         sent.directory = directory
-    news, sent.quarantine = leader.quarantine.news_since(sent.quarantine)
+    news, sent.quarantine = leader.quarantine.update_since(sent.quarantine)
     if news.verdicts:
-        frame.quarantine.CopyFrom(encode_news(news, leader.now()))
+        frame.quarantine.CopyFrom(encode_update(news, leader.now()))
     now = leader.now()
     if now - sent.usage_at >= _USAGE_PERIOD:
         frame.usage.extend(_service_elsewhere(leader, presence, sent))
--- a/packages/core/src/hitchdeck_core/quarantine/casualties.py
+++ b/packages/core/src/hitchdeck_core/quarantine/casualties.py
@@ -7,84 +7,91 @@
 from hitchdeck_core.ids import LifeId
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
-ENOUGH_LIVES = 3
+MIN_CRASHES = 3
 """Upstreams that must have ended under a content.  A wave of crashes takes a request
 that is resumed along twice: of 60 that broke off beside a lethal one, four did so at
 two ends and none at three (logs of eight ends in nine seconds)."""
 
-REMEMBERED_SECONDS = 600.0
+CRASH_TTL_SECONDS = 600.0
 """How long an end is remembered: a lethal request that comes every minute or two is
 still told, one upstream lost every four minutes is not taken for its work."""
 
-MOST_REMEMBERED = 4096
+MAX_CRASH_RECORDS = 4096
 """Pairs of content and life: 64 requests open at each of 64 ends."""
 
 
 @dataclass(frozen=True, slots=True)
-class Casualty:
+class CrashRecord:
     """An upstream's life that ended while a content was open there."""
 
-    content: Fingerprint
-    life: LifeId
+    fingerprint: Fingerprint
+    incarnation: LifeId
 
 
-class Casualties:
+class CrashHistory:
     """Pairs of a content and the life of an upstream that ended under it."""
 
     def __init__(self, now: Clock) -> None:
         self.now = now
-        self.by_content: dict[Fingerprint, set[LifeId]] = defaultdict(set)
-        self.by_life: dict[LifeId, set[Fingerprint]] = defaultdict(set)
-        self.order: deque[tuple[float, Casualty]] = deque()
+        self.by_fingerprint: dict[Fingerprint, set[LifeId]] = defaultdict(set)
+        self.by_incarnation: dict[LifeId, set[Fingerprint]] = defaultdict(set)
+        self.order: deque[tuple[float, CrashRecord]] = deque()
 
-    def add(self, casualty: Casualty) -> bool:
+    def add(self, crash: CrashRecord) -> bool:
         """Note that a life ended under a content; tell whether that is news."""
         self._expire()
-        if self.has(casualty):
+        if self.has(crash):
             return False
-        self.by_content[casualty.content].add(casualty.life)
-        self.by_life[casualty.life].add(casualty.content)
-        self.order.append((self.now(), casualty))
+        self.by_fingerprint[crash.fingerprint].add(crash.incarnation)
+        self.by_incarnation[crash.incarnation].add(crash.fingerprint)
+        self.order.append((self.now(), crash))
         return True
 
-    def has(self, casualty: Casualty) -> bool:
+    def has(self, crash: CrashRecord) -> bool:
         """Tell whether this is known, and neither too old nor forgotten."""
-        return casualty.life in self.by_content.get(casualty.content, ())
+        return crash.incarnation in self.by_fingerprint.get(crash.fingerprint, ())
 
-    def blames(self, content: Fingerprint) -> bool:
+    def implicates(self, fingerprint: Fingerprint) -> bool:
         """Tell whether a content is what enough upstreams ended under.
 
         An end speaks against the content that was there at most ends, and not
         against those that happened to be open beside it.
         """
-        lives = self.by_content.get(content, set())
-        against = [life for life in lives if not self._is_explained(life, len(lives))]
-        return len(against) >= ENOUGH_LIVES
-
-    def forget(self, content: Fingerprint) -> None:
+        incarnations = self.by_fingerprint.get(fingerprint, set())
+        against = [
+            incarnation
+            for incarnation in incarnations
+            if not self._is_explained(incarnation, len(incarnations))
+        ]
+        return len(against) >= MIN_CRASHES
+
+    def forget(self, fingerprint: Fingerprint) -> None:
         """Forget what speaks against a content."""
-        for life in list(self.by_content.get(content, ())):
-            self._forget(Casualty(content, life))
+        for incarnation in list(self.by_fingerprint.get(fingerprint, ())):
+            self._forget(CrashRecord(fingerprint, incarnation))
 
-    def _is_explained(self, life: LifeId, times: int) -> bool:
+    def _is_explained(self, incarnation: LifeId, times: int) -> bool:
         """Tell whether another content of a life was at more ends than ``times``."""
-        return any(len(self.by_content[one]) > times for one in self.by_life[life])
+        return any(
+            len(self.by_fingerprint[one]) > times
+            for one in self.by_incarnation[incarnation]
+        )
 
     def _expire(self) -> None:
-        horizon = self.now() - REMEMBERED_SECONDS
+        horizon = self.now() - CRASH_TTL_SECONDS
         while self.order and (
-            self.order[0][0] < horizon or len(self.order) >= MOST_REMEMBERED
+            self.order[0][0] < horizon or len(self.order) >= MAX_CRASH_RECORDS
         ):
-            _, casualty = self.order.popleft()
-            self._forget(casualty)
+            _, crash = self.order.popleft()
+            self._forget(crash)
 
-    def _forget(self, casualty: Casualty) -> None:
+    def _forget(self, crash: CrashRecord) -> None:
         """Drop a casualty, and what is empty without it."""
-        lives = self.by_content[casualty.content]
-        lives.discard(casualty.life)
-        if not lives:
-            self.by_content.pop(casualty.content)
-        there = self.by_life[casualty.life]
-        there.discard(casualty.content)
-        if not there:
-            self.by_life.pop(casualty.life)
+        incarnations = self.by_fingerprint[crash.fingerprint]
+        incarnations.discard(crash.incarnation)
+        if not incarnations:
+            self.by_fingerprint.pop(crash.fingerprint)
+        in_flight = self.by_incarnation[crash.incarnation]
+        in_flight.discard(crash.fingerprint)
+        if not in_flight:
+            self.by_incarnation.pop(crash.incarnation)
--- a/packages/core/src/hitchdeck_core/quarantine/endings.py
+++ b/packages/core/src/hitchdeck_core/quarantine/endings.py
@@ -15,7 +15,7 @@
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.supervisor import Supervisor
 
-Reaches = Callable[[], Awaitable[bool]]
+Probe = Callable[[], Awaitable[bool]]
 """Tells whether an upstream accepts connections and goes on running."""
 
 SUSPICION_TTL_SECONDS = 10.0
@@ -30,7 +30,7 @@
     since: float
 
 
-class Endings:
+class CrashDetector:
     """Asks an upstream once, however many answers break off there at once.
 
     Attributes
@@ -44,58 +44,62 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        on_end: Callable[[LifeId], object],
+        on_crash: Callable[[LifeId], object],
     ) -> None:
         self.quarantine = quarantine
-        self.on_end = on_end
+        self.on_crash = on_crash
         self.probed: dict[LifeId, set[Fingerprint]] = defaultdict(set)
         self.suspected: dict[LifeId, SuspectedCrash] = {}
         self.tasks = Supervisor('endings')
 
-    def note(self, life: LifeId, content: Fingerprint, reaches: Reaches) -> None:
+    def record_broken_response(
+        self, incarnation: LifeId, fingerprint: Fingerprint, probe: Probe
+    ) -> None:
         """Note that no whole answer to a content came from an upstream."""
-        asked = life in self.probed
-        self.probed[life].add(content)
-        if not asked:
-            self.tasks.temporary(life, self._ask(life, reaches))
+        already_probed = incarnation in self.probed
+        self.probed[incarnation].add(fingerprint)
+        if not already_probed:
+            self.tasks.temporary(incarnation, self._probe(incarnation, probe))
 
-    def confirm(self, life: LifeId) -> None:
+    def confirm_crash(self, incarnation: LifeId) -> None:
         """Note that a life has surely ended, as its next one is known."""
         self._expire()
-        crash = self.suspected.pop(life, None)
+        crash = self.suspected.pop(incarnation, None)
         in_flight = crash.in_flight if crash else frozenset()
         # A probe of this incarnation may still be running.
-        in_flight |= self.probed.pop(life, set())
+        in_flight |= self.probed.pop(incarnation, set())
         if in_flight:
-            self.quarantine.note_end(life, in_flight)
+            self.quarantine.record_crash(incarnation, in_flight)
 
-    async def _ask(self, life: LifeId, reaches: Reaches) -> None:
+    async def _probe(self, incarnation: LifeId, probe: Probe) -> None:
         try:
-            alive = await reaches()
+            alive = await probe()
         finally:
-            there = self.probed.pop(life, set())
-        if not there:
+            in_flight = self.probed.pop(incarnation, set())
+        if not in_flight:
             # Confirmed while the probe was running.
             return
         if alive:
             logs.info(
                 'upstream accepts connections after a broken response',
-                upstream=life,
-                contents=[one.hex() for one in there],
+                upstream=incarnation,
+                contents=[one.hex() for one in in_flight],
             )
-            self._suspect(life, there)
+            self._suspect(incarnation, in_flight)
             return
-        self.on_end(life)
-        self.quarantine.note_end(life, there)
+        self.on_crash(incarnation)
+        self.quarantine.record_crash(incarnation, in_flight)
 
-    def _suspect(self, life: LifeId, there: set[Fingerprint]) -> None:
+    def _suspect(self, incarnation: LifeId, in_flight: set[Fingerprint]) -> None:
         self._expire()
-        before = self.suspected.pop(life, None)
+        before = self.suspected.pop(incarnation, None)
         known = before.in_flight if before else frozenset()
-        self.suspected[life] = SuspectedCrash(known | there, self.quarantine.now())
+        self.suspected[incarnation] = SuspectedCrash(
+            known | in_flight, self.quarantine.now()
+        )
 
     def _expire(self) -> None:
         horizon = self.quarantine.now() - SUSPICION_TTL_SECONDS
-        for life, crash in list(self.suspected.items()):
+        for incarnation, crash in list(self.suspected.items()):
             if crash.since < horizon:
-                self.suspected.pop(life)
+                self.suspected.pop(incarnation)
--- a/packages/core/src/hitchdeck_core/quarantine/messages.py
+++ b/packages/core/src/hitchdeck_core/quarantine/messages.py
@@ -1,10 +1,10 @@
 """News of quarantined contents as they travel between processes."""
 
 from hitchdeck_core.ids import LifeId
-from hitchdeck_core.quarantine.casualties import Casualty
+from hitchdeck_core.quarantine.casualties import CrashRecord
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
-from hitchdeck_core.quarantine.quarantine import News
-from hitchdeck_core.quarantine.verdicts import Standing, Verdict
+from hitchdeck_core.quarantine.quarantine import QuarantineUpdate
+from hitchdeck_core.quarantine.verdicts import Verdict, VerdictStatus
 from hitchdeck_core.wire.quarantine_pb2 import (
     CasualtyRecord,
     QuarantineNews,
@@ -14,30 +14,30 @@
 _MS = 1000
 
 
-def encode_news(news: News, now: float) -> QuarantineNews:
+def encode_update(update: QuarantineUpdate, now: float) -> QuarantineNews:
     """Return the message for news, at a moment of the sender's clock."""
     return QuarantineNews(
         casualties=[
-            CasualtyRecord(content=one.content, life=one.life)
-            for one in news.casualties
+            CasualtyRecord(content=one.fingerprint, life=one.incarnation)
+            for one in update.crashes
         ],
         verdicts=[
             VerdictRecord(
-                content=one.content,
-                round=one.number,
-                quarantined=one.standing is Standing.quarantined,
+                content=one.fingerprint,
+                round=one.round_number,
+                quarantined=one.status is VerdictStatus.quarantined,
                 age_ms=max(0, int((now - one.since) * _MS)),
             )
-            for one in news.verdicts
+            for one in update.verdicts
         ],
     )
 
 
-def decode_news(message: QuarantineNews, now: float) -> News:
+def decode_update(message: QuarantineNews, now: float) -> QuarantineUpdate:
     """Return the news of a message, at a moment of the receiver's clock."""
-    return News(
+    return QuarantineUpdate(
         tuple(
-            Casualty(Fingerprint(one.content), LifeId(one.life))
+            CrashRecord(Fingerprint(one.content), LifeId(one.life))
             for one in message.casualties
         ),
         tuple(_verdict(one, now) for one in message.verdicts),
@@ -45,7 +45,7 @@
 
 
 def _verdict(record: VerdictRecord, now: float) -> Verdict:
-    standing = Standing.quarantined if record.quarantined else Standing.cleared
+    status = VerdictStatus.quarantined if record.quarantined else VerdictStatus.cleared
     since = now - record.age_ms / _MS
-    content = Fingerprint(record.content)
-    return Verdict(content, int(record.round), standing, since)
+    fingerprint = Fingerprint(record.content)
+    return Verdict(fingerprint, int(record.round), status, since)
--- a/packages/core/src/hitchdeck_core/quarantine/probing.py
+++ b/packages/core/src/hitchdeck_core/quarantine/probing.py
@@ -11,7 +11,7 @@
 WATCH_SECONDS = 1.0
 """Time for which a connection must stay open to count as accepted by a live process."""
 
-MOST_CONNECTIONS = 3
+MAX_CONNECTIONS = 3
 """Connections opened in one probe: a live upstream may close some when it is full."""
 
 REOPEN_SECONDS = 0.05
@@ -20,11 +20,11 @@
 UntilClosed = Callable[[], Awaitable[None]]
 """Waits until the peer closes or resets a connection."""
 
-Open = Callable[[], Awaitable[UntilClosed | None]]
+OpenConnection = Callable[[], Awaitable[UntilClosed | None]]
 """Opens a connection; returns ``None`` if the upstream can't be connected to."""
 
 
-async def stays_reachable(open_connection: Open) -> bool:
+async def stays_reachable(open_connection: OpenConnection) -> bool:
     """Tell whether an upstream accepts a connection and goes on running.
 
     Returns
@@ -34,7 +34,7 @@
         accepted; it takes up to ``WATCH_SECONDS`` to find a live upstream.
     """
     deadline = asyncio.get_running_loop().time() + WATCH_SECONDS
-    for _ in range(MOST_CONNECTIONS):
+    for _ in range(MAX_CONNECTIONS):
         until_closed = await open_connection()
         if until_closed is None:
             return False
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -14,43 +14,43 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import LifeId
 from hitchdeck_core.quarantine.casualties import (
-    MOST_REMEMBERED,
-    Casualties,
-    Casualty,
+    MAX_CRASH_RECORDS,
+    CrashHistory,
+    CrashRecord,
 )
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
-from hitchdeck_core.quarantine.verdicts import Standing, Verdict, Verdicts
+from hitchdeck_core.quarantine.verdicts import Verdict, Verdicts, VerdictStatus
 from hitchdeck_core.signals import Signal
 
-HERE = 'this process'
+THIS_PROCESS = 'this process'
 """Origin of what a process decided by itself."""
 
-ANSWERED_SECONDS = 60.0
+ANSWER_TTL_SECONDS = 60.0
 """How long an answer speaks for its content.  Many callers may ask for the same, and
 a wave of crashes at four upstreams meets such a content at three at once."""
 
-MOST_ANSWERED = 8192
+MAX_ANSWERS = 8192
 """Contents answered of late: two minutes of a box with 70 requests a second."""
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class QuarantineUpdate:
     """What one process tells another: ends that it saw, and verdicts."""
 
-    casualties: tuple[Casualty, ...]
+    crashes: tuple[CrashRecord, ...]
     verdicts: tuple[Verdict, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class SyncPosition:
     """How much of a process's news another one has."""
 
-    casualties: int = 0
+    crashes: int = 0
     verdicts: int = 0
 
 
-NOTHING = Told()
-NO_NEWS = News((), ())
+SYNC_START = SyncPosition()
+EMPTY_UPDATE = QuarantineUpdate((), ())
 
 
 class Quarantine:
@@ -61,7 +61,7 @@
     changed
         Notified with each news.
     seen
-        Ends that this process saw itself, the newest last; ``seen_before`` counts
+        Ends that this process saw itself, the newest last; ``dropped_crashes`` counts
         those that were dropped from it.
     answered
         When each content was answered last, the oldest first.
@@ -70,100 +70,108 @@
     def __init__(self, now: Clock, changed: Signal) -> None:
         self.now = now
         self.changed = changed
-        self.casualties = Casualties(now)
+        self.crashes = CrashHistory(now)
         self.verdicts = Verdicts(now)
-        self.seen: deque[Casualty] = deque()
-        self.seen_before = 0
+        self.own_crashes: deque[CrashRecord] = deque()
+        self.dropped_crashes = 0
         self.answered: OrderedDict[Fingerprint, float] = OrderedDict()
 
-    def holds(self, content: Fingerprint) -> bool:
+    def is_quarantined(self, fingerprint: Fingerprint) -> bool:
         """Tell whether a content is to be kept away from upstreams."""
-        return self.verdicts.holds(content)
+        return self.verdicts.is_quarantined(fingerprint)
 
-    def note_end(self, life: LifeId, there: Collection[Fingerprint]) -> None:
+    def record_crash(
+        self, incarnation: LifeId, in_flight: Collection[Fingerprint]
+    ) -> None:
         """Note that an upstream ended under what was open there."""
         logs.warning(
             'upstream ended',
-            upstream=life,
-            contents=[one.hex() for one in there],
+            upstream=incarnation,
+            contents=[one.hex() for one in in_flight],
         )
-        casualties = [Casualty(content, life) for content in there]
-        self.seen.extend(casualties)
-        self._count(casualties)
-        while len(self.seen) > MOST_REMEMBERED:
-            self.seen.popleft()
-            self.seen_before += 1
+        crashes = [CrashRecord(fingerprint, incarnation) for fingerprint in in_flight]
+        self.own_crashes.extend(crashes)
+        self._add_crashes(crashes)
+        while len(self.own_crashes) > MAX_CRASH_RECORDS:
+            self.own_crashes.popleft()
+            self.dropped_crashes += 1
         self.changed.notify()
 
-    def note_answer(self, content: Fingerprint) -> None:
+    def record_answer(self, fingerprint: Fingerprint) -> None:
         """Note that an upstream answered a content, and lives."""
-        self.answered.pop(content, None)
-        self.answered[content] = self.now()
-        if len(self.answered) > MOST_ANSWERED:
+        self.answered.pop(fingerprint, None)
+        self.answered[fingerprint] = self.now()
+        if len(self.answered) > MAX_ANSWERS:
             self.answered.popitem(last=False)
-        self._clear(content)
+        self._clear(fingerprint)
 
-    def take(self, news: News, origin: str) -> set[LifeId]:
+    def merge(self, update: QuarantineUpdate, origin: str) -> set[LifeId]:
         """Take what another process tells; return the lives whose end is news."""
-        for verdict in news.verdicts:
-            self._take_verdict(verdict, origin)
-        return {one.life for one in self._count(news.casualties)}
+        for verdict in update.verdicts:
+            self._merge_verdict(verdict, origin)
+        return {one.incarnation for one in self._add_crashes(update.crashes)}
 
-    def news_since(self, told: Told) -> tuple[News, Told]:
+    def update_since(
+        self, position: SyncPosition
+    ) -> tuple[QuarantineUpdate, SyncPosition]:
         """Return what another process lacks, and what it has then.
 
         Every frame between processes asks, and hardly ever is there anything.
         """
-        if told.verdicts == self.verdicts.changes:
-            if told.casualties == self.seen_before + len(self.seen):
-                return NO_NEWS, told
-        start = max(0, told.casualties - self.seen_before)
-        seen = len(self.seen)
-        fresh = (self.seen[place] for place in range(start, seen))
-        casualties = tuple(one for one in fresh if self.casualties.has(one))
-        verdicts = tuple(self.verdicts.changed_since(told.verdicts))
-        now_told = Told(self.seen_before + seen, self.verdicts.changes)
-        return News(casualties, verdicts), now_told
-
-    def _count(self, casualties: Collection[Casualty]) -> list[Casualty]:
+        if position.verdicts == self.verdicts.changes:
+            if position.crashes == self.dropped_crashes + len(self.own_crashes):
+                return EMPTY_UPDATE, position
+        start = max(0, position.crashes - self.dropped_crashes)
+        count = len(self.own_crashes)
+        fresh = (self.own_crashes[place] for place in range(start, count))
+        crashes = tuple(one for one in fresh if self.crashes.has(one))
+        verdicts = tuple(self.verdicts.changed_since(position.verdicts))
+        new_position = SyncPosition(self.dropped_crashes + count, self.verdicts.changes)
+        return QuarantineUpdate(crashes, verdicts), new_position
+
+    def _add_crashes(self, crashes: Collection[CrashRecord]) -> list[CrashRecord]:
         """Take ends, all of them before any content is judged by them."""
-        fresh = [one for one in casualties if self.casualties.add(one)]
-        named = {one.content for one in fresh}
-        for content in named:
-            self._judge(content)
+        fresh = [one for one in crashes if self.crashes.add(one)]
+        named = {one.fingerprint for one in fresh}
+        for fingerprint in named:
+            self._evaluate(fingerprint)
         return fresh
 
-    def _judge(self, content: Fingerprint) -> None:
-        if self.holds(content):
+    def _evaluate(self, fingerprint: Fingerprint) -> None:
+        if self.is_quarantined(fingerprint):
             return
-        if self.casualties.blames(content) and self.verdicts.quarantine(content):
-            lives = sorted(self.casualties.by_content[content])
-            logs.warning('content quarantined', content=content.hex(), ended=lives)
-            self._settle(content)
-
-    def _take_verdict(self, verdict: Verdict, origin: str) -> None:
+        if self.crashes.implicates(fingerprint) and self.verdicts.quarantine(
+            fingerprint
+        ):
+            incarnations = sorted(self.crashes.by_fingerprint[fingerprint])
+            logs.warning(
+                'content quarantined', content=fingerprint.hex(), ended=incarnations
+            )
+            self._publish_verdict(fingerprint)
+
+    def _merge_verdict(self, verdict: Verdict, origin: str) -> None:
         if not self.verdicts.merge(verdict):
             return
         logs.info(
             'verdict taken',
-            content=verdict.content.hex(),
-            standing=verdict.standing.name,
-            round=verdict.number,
+            content=verdict.fingerprint.hex(),
+            standing=verdict.status.name,
+            round=verdict.round_number,
             origin=origin,
         )
-        if verdict.standing is Standing.cleared:
-            self.casualties.forget(verdict.content)
-        self._settle(verdict.content)
+        if verdict.status is VerdictStatus.cleared:
+            self.crashes.forget(verdict.fingerprint)
+        self._publish_verdict(verdict.fingerprint)
 
-    def _settle(self, content: Fingerprint) -> None:
+    def _publish_verdict(self, fingerprint: Fingerprint) -> None:
         """Speak for a content that was answered of late; pass the verdict on."""
-        answered = self.answered.get(content)
-        if answered is not None and self.now() - answered < ANSWERED_SECONDS:
-            self._clear(content)
+        answered = self.answered.get(fingerprint)
+        if answered is not None and self.now() - answered < ANSWER_TTL_SECONDS:
+            self._clear(fingerprint)
         self.changed.notify()
 
-    def _clear(self, content: Fingerprint) -> None:
-        if self.verdicts.clear(content):
-            self.casualties.forget(content)
-            logs.warning('content cleared', content=content.hex())
+    def _clear(self, fingerprint: Fingerprint) -> None:
+        if self.verdicts.clear(fingerprint):
+            self.crashes.forget(fingerprint)
+            logs.warning('content cleared', content=fingerprint.hex())
             self.changed.notify()
--- a/packages/core/src/hitchdeck_core/quarantine/verdicts.py
+++ b/packages/core/src/hitchdeck_core/quarantine/verdicts.py
@@ -14,12 +14,12 @@
 """How long a content is kept away.  After it three more upstreams end before it is
 kept away again: at most one every 200 s."""
 
-MOST_VERDICTS = 1024
+MAX_VERDICTS = 1024
 """Bounds the memory (200 kB) where contents are made up to fill it; the oldest
 goes first."""
 
 
-class Standing(Enum):
+class VerdictStatus(Enum):
     """What is decided on a content."""
 
     cleared = 0
@@ -33,18 +33,18 @@
 class Verdict:
     """The standing of a content; ``since`` is when, on this process's clock.
 
-    ``number`` counts the rounds: each time a content is cleared starts one.
+    ``round_number`` counts the rounds: each time a content is cleared starts one.
     """
 
-    content: Fingerprint
-    number: int
-    standing: Standing
+    fingerprint: Fingerprint
+    round_number: int
+    status: VerdictStatus
     since: float
 
     @property
     def rank(self) -> tuple[int, int]:
         """Return what decides between two verdicts on a content."""
-        return (self.number, self.standing.value)
+        return (self.round_number, self.status.value)
 
 
 class Verdicts:
@@ -62,32 +62,39 @@
         self.change_numbers: dict[Fingerprint, int] = {}
         self.changes = 0
 
-    def holds(self, content: Fingerprint) -> bool:
+    def is_quarantined(self, fingerprint: Fingerprint) -> bool:
         """Tell whether a content is to be kept away from upstreams."""
-        verdict = self.known.get(content)
-        if verdict is None or verdict.standing is not Standing.quarantined:
+        verdict = self.known.get(fingerprint)
+        if verdict is None or verdict.status is not VerdictStatus.quarantined:
             return False
-        return not self._is_over(verdict)
+        return not self._is_expired(verdict)
 
-    def quarantine(self, content: Fingerprint) -> bool:
+    def quarantine(self, fingerprint: Fingerprint) -> bool:
         """Keep a content away; tell whether that is news."""
         return self.merge(
-            Verdict(content, self._round(content), Standing.quarantined, self.now())
+            Verdict(
+                fingerprint,
+                self._round(fingerprint),
+                VerdictStatus.quarantined,
+                self.now(),
+            )
         )
 
-    def clear(self, content: Fingerprint) -> bool:
+    def clear(self, fingerprint: Fingerprint) -> bool:
         """Let a content pass that is kept away; tell whether it was."""
-        if not self.holds(content):
+        if not self.is_quarantined(fingerprint):
             return False
-        number = self._round(content) + 1
-        return self.merge(Verdict(content, number, Standing.cleared, self.now()))
+        number = self._round(fingerprint) + 1
+        return self.merge(
+            Verdict(fingerprint, number, VerdictStatus.cleared, self.now())
+        )
 
     def merge(self, verdict: Verdict) -> bool:
         """Take a verdict if it is newer than what is known; tell whether it was."""
-        if self._is_over(verdict):
+        if self._is_expired(verdict):
             return False
-        known = self.known.get(verdict.content)
-        if known is not None and not self._is_over(known):
+        known = self.known.get(verdict.fingerprint)
+        if known is not None and not self._is_expired(known):
             if verdict.rank <= known.rank:
                 return False
         self._store(verdict)
@@ -97,23 +104,24 @@
         """Return the verdicts that changed after a change number."""
         return [
             verdict
-            for content, verdict in self.known.items()
-            if self.change_numbers[content] > number and not self._is_over(verdict)
+            for fingerprint, verdict in self.known.items()
+            if self.change_numbers[fingerprint] > number
+            and not self._is_expired(verdict)
         ]
 
-    def _round(self, content: Fingerprint) -> int:
-        known = self.known.get(content)
-        return 0 if known is None or self._is_over(known) else known.number
+    def _round(self, fingerprint: Fingerprint) -> int:
+        known = self.known.get(fingerprint)
+        return 0 if known is None or self._is_expired(known) else known.round_number
 
-    def _is_over(self, verdict: Verdict) -> bool:
+    def _is_expired(self, verdict: Verdict) -> bool:
         return self.now() - verdict.since >= QUARANTINE_SECONDS
 
     def _store(self, verdict: Verdict) -> None:
         self.changes += 1
-        self.known.pop(verdict.content, None)
-        self.known[verdict.content] = verdict
-        self.change_numbers[verdict.content] = self.changes
-        while len(self.known) > MOST_VERDICTS:
+        self.known.pop(verdict.fingerprint, None)
+        self.known[verdict.fingerprint] = verdict
+        self.change_numbers[verdict.fingerprint] = self.changes
+        while len(self.known) > MAX_VERDICTS:
             oldest = next(iter(self.known))
             self.known.pop(oldest)
             self.change_numbers.pop(oldest)
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -91,7 +91,7 @@
         A box without processor time gets word of its timers late.
         """
         # Ten engines ended one after the other under one content that came again.
-        if self.sender.quarantine.holds(context.fingerprint):
+        if self.sender.quarantine.is_quarantined(context.fingerprint):
             return Refusal.quarantined
         choice = await self.chooser.choose(context)
         if self.now() >= context.deadline:
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.quarantine.endings import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict, verdict_on
 from hitchdeck_edge.dispatch.connections import Connections
@@ -46,7 +46,7 @@
         self.quarantine = quarantine
         self.link = chooser.link
         self.placement = chooser.local.placement
-        self.endings = Endings(quarantine, self._note_crash)
+        self.crash_detector = CrashDetector(quarantine, self._note_crash)
         self.backpressure = chooser.backpressure
         self.domain = chooser.domain
         self.connections = connections
@@ -90,7 +90,7 @@
     def doubt(self, service: Service, attempt: Attempt) -> None:
         """Find out whether an upstream that gave no whole answer has ended."""
         upstream = attempt.choice.upstream
-        self.endings.note(
+        self.crash_detector.record_broken_response(
             upstream.incarnation,
             service.context.fingerprint,
             partial(self.connections.reaches, upstream),
@@ -106,7 +106,7 @@
             self.connections.drop(record.name)
         else:
             self.connections.cut(record.name)
-        self.endings.confirm(record.incarnation)
+        self.crash_detector.confirm_crash(record.incarnation)
         self.backpressure.pass_on(record.name, newer.name)
 
     def _note_crash(self, incarnation: LifeId) -> None:
@@ -264,7 +264,7 @@
         """Draw conclusions on the upstream, and on whether the request ran."""
         health = self.placement.health
         if attempt.verdict in {Verdict.answered, Verdict.failed}:
-            self.quarantine.note_answer(service.context.fingerprint)
+            self.quarantine.record_answer(service.context.fingerprint)
         if attempt.verdict is Verdict.answered:
             health.record_success(attempt.upstream, self.now() - attempt.began)
             return
--- a/packages/edge/src/hitchdeck_edge/hub/kept_file.py
+++ b/packages/edge/src/hitchdeck_edge/hub/kept_file.py
@@ -18,8 +18,8 @@
 from hitchdeck_control.storage.files import replace_file
 from hitchdeck_control.storage.records import Damage, frame, unframe
 from hitchdeck_core import logs
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Quarantine
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.quarantine_pb2 import QuarantineNews
 from hitchdeck_core.wire.spread_pb2 import Document, EvacuationList, HubFrame
@@ -163,12 +163,12 @@
     """
 
     def compose() -> bytes:
-        news, _ = quarantine.news_since(NOTHING)
-        return encode_news(news, quarantine.now()).SerializeToString()
+        news, _ = quarantine.update_since(SYNC_START)
+        return encode_update(news, quarantine.now()).SerializeToString()
 
     def recall(payload: bytes) -> None:
         message = QuarantineNews.FromString(payload)
-        quarantine.take(decode_news(message, quarantine.now()), ORIGIN)
+        quarantine.merge(decode_update(message, quarantine.now()), ORIGIN)
 
     kept = Kept(lambda: quarantine.verdicts.changes, compose, recall)
     return KeptFile(folder / 'quarantine', kept, quarantine.changed)
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -13,8 +13,8 @@
 from hitchdeck_core.channels import TRANSPORT_ERRORS
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, UpstreamName
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Quarantine, Told
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, Quarantine, SyncPosition
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.spread_grpc import SpreadBase
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, HubFrame
@@ -73,7 +73,7 @@
     document: int = 0
     evacuations: int = 0
     change: int = 0
-    quarantine: Told = NOTHING
+    quarantine: SyncPosition = SYNC_START
     hubs: frozenset[str] = frozenset()
     introduced: bool = False
 
@@ -112,8 +112,8 @@
         for name in frame.heard:
             state.registry.hear(UpstreamName(name))
         if frame.HasField('quarantine'):
-            news = decode_news(frame.quarantine, state.quarantine.now())
-            ended = state.quarantine.take(news, attendee.hello.box)
+            news = decode_update(frame.quarantine, state.quarantine.now())
+            ended = state.quarantine.merge(news, attendee.hello.box)
             # Only what is news: a box tells all it knows each time that it comes.
             for life in ended:
                 state.registry.suspect(life)
@@ -187,9 +187,9 @@
 
 
 def _add_verdicts(frame: HubFrame, sent: _Sent, quarantine: Quarantine) -> None:
-    news, sent.quarantine = quarantine.news_since(sent.quarantine)
+    news, sent.quarantine = quarantine.update_since(sent.quarantine)
     if news.verdicts:
-        frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
+        frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
 
 def _add_reports(frame: HubFrame, attendee: Attendee, attendees: Attendees) -> None:
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -5,8 +5,8 @@
 
 from hitchdeck_core.busyness import PERCENT, busy_part
 from hitchdeck_core.ids import Address
-from hitchdeck_core.quarantine.messages import encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Told
+from hitchdeck_core.quarantine.messages import encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, SyncPosition
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Hello, HubFrame
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.attend import Attendance, box_idle, box_pause
@@ -41,7 +41,7 @@
         self.targets = targets
         self.ready = False
         self.urgent = known.quarantine.changed
-        self.told: dict[Address, Told] = {}
+        self.told: dict[Address, SyncPosition] = {}
         self.told_changes: dict[Address, int] = {}
         self.incarnation = secrets.token_hex(4)
         self.home: Address | None = None
@@ -126,10 +126,10 @@
     def _tell_news(self, hub: Address, frame: BoxFrame) -> None:
         """Add what a hub lacks of the ends and verdicts that this box knows."""
         quarantine = self.known.quarantine
-        told = self.told.get(hub, NOTHING)
-        news, self.told[hub] = quarantine.news_since(told)
+        told = self.told.get(hub, SYNC_START)
+        news, self.told[hub] = quarantine.update_since(told)
         if news.casualties or news.verdicts:
-            frame.quarantine.CopyFrom(encode_news(news, quarantine.now()))
+            frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _tell_suspicions(self, hub: Address, frame: BoxFrame) -> None:
         """Add the suspected crashes that a hub may be able to clear.
--- a/packages/edge/src/hitchdeck_edge/links/intake.py
+++ b/packages/edge/src/hitchdeck_edge/links/intake.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from hitchdeck_core.ids import Address
-from hitchdeck_core.quarantine.messages import decode_news
+from hitchdeck_core.quarantine.messages import decode_update
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.wire.spread_pb2 import HubFrame
 from hitchdeck_edge.links.records import decode_upstreams
@@ -43,5 +43,5 @@
     for upstream in decode_upstreams(frame.upstreams):
         known.registry.merge(upstream, hub)
     if frame.HasField('quarantine'):
-        news = decode_news(frame.quarantine, known.quarantine.now())
-        known.quarantine.take(news, hub)
+        news = decode_update(frame.quarantine, known.quarantine.now())
+        known.quarantine.merge(news, hub)
--- a/packages/router/src/hitchdeck_router/context.py
+++ b/packages/router/src/hitchdeck_router/context.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_core.ids import Incarnation
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.quarantine.endings import CrashDetector
 from hitchdeck_core.settings import RouterSection
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_router.dispatch.budget import RetryBudget
@@ -30,7 +30,7 @@
     ledger: Ledger
     histograms: Histograms
     supervisor: Supervisor
-    endings: Endings
+    crash_detector: CrashDetector
     backpressure: Backpressure
     budget: RetryBudget = field(default_factory=RetryBudget)
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
--- a/packages/router/src/hitchdeck_router/dispatch/attempts.py
+++ b/packages/router/src/hitchdeck_router/dispatch/attempts.py
@@ -84,7 +84,7 @@
         failed = False
         try:
             await _run_granted(context, admitted, progress, grant, run_once)
-            context.fleet.quarantine.note_answer(admitted.content)
+            context.fleet.quarantine.record_answer(admitted.content)
             return
         except GrantLostError as error:
             _note_lost_grant(progress, error)
--- a/packages/router/src/hitchdeck_router/dispatch/ends.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ends.py
@@ -4,7 +4,7 @@
 
 from hitchdeck_core.clock import wall_seconds
 from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.quarantine.endings import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
 from hitchdeck_core.resources import Upstream
@@ -29,15 +29,15 @@
     return LifeId(f'{name}@{int(wall_seconds() // APART_SECONDS)}')
 
 
-def endings_of(quarantine: Quarantine) -> Endings:
+def endings_of(quarantine: Quarantine) -> CrashDetector:
     """Return what finds out about ends; schedulers hear of each failure anyway."""
-    return Endings(quarantine, on_end=str)
+    return CrashDetector(quarantine, on_crash=str)
 
 
 def check_not_quarantined(context: RouterContext, admitted: Admitted) -> None:
     """Raise ``NotRunError`` for a request under which upstreams ended."""
     # Six of six engines ended under one that came again, at any router.
-    if context.fleet.quarantine.holds(admitted.content):
+    if context.fleet.quarantine.is_quarantined(admitted.content):
         raise NotRunError(
             _UNAVAILABLE,
             'quarantined',
@@ -50,4 +50,4 @@
     """Find out whether an upstream that gave no whole answer has ended."""
     reaches = partial(takes_connections, upstream.address)
     life = life_of(UpstreamName(upstream.name))
-    context.endings.note(life, admitted.content, reaches)
+    context.crash_detector.record_broken_response(life, admitted.content, reaches)
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -12,8 +12,8 @@
 from hitchdeck_core.clock import Clock, boot_seconds
 from hitchdeck_core.errors import LinkError
 from hitchdeck_core.ids import Address
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
-from hitchdeck_core.quarantine.quarantine import NOTHING, Quarantine
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
+from hitchdeck_core.quarantine.quarantine import SYNC_START, Quarantine
 from hitchdeck_core.signals import Signal
 from hitchdeck_core.wire.hitchdeck_grpc import ControlStub
 from hitchdeck_core.wire.hitchdeck_pb2 import (
@@ -87,7 +87,7 @@
         self.leaving = False
         # What this router learns of upstreams that ended goes out at once.
         self.beat_now = fleet.quarantine.changed
-        self.told = NOTHING
+        self.told = SYNC_START
 
     async def run(self) -> None:
         """Stay connected to the leader; for ever."""
@@ -136,7 +136,7 @@
     async def _converse(self, stream: WatchStream) -> None:
         # What was told to another leader may have died with it.
         self.usage.tell_all()
-        self.told = NOTHING
+        self.told = SYNC_START
         await self._beat(stream, self.hello)
         beating = asyncio.create_task(self._beat_for_ever(stream))
         try:
@@ -178,9 +178,9 @@
 
     def _add_news(self, beat: RouterBeat) -> None:
         quarantine = self.fleet.quarantine
-        news, self.told = quarantine.news_since(self.told)
+        news, self.told = quarantine.update_since(self.told)
         if news.casualties or news.verdicts:
-            beat.quarantine.CopyFrom(encode_news(news, quarantine.now()))
+            beat.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _take(self, frame: ControlFrame) -> None:
         self.connected = True
@@ -196,8 +196,8 @@
             self.usage.take(list(frame.usage), int(frame.term))
         if frame.HasField('quarantine'):
             quarantine = self.fleet.quarantine
-            news = decode_news(frame.quarantine, quarantine.now())
-            quarantine.take(news, _LINK)
+            news = decode_update(frame.quarantine, quarantine.now())
+            quarantine.merge(news, _LINK)
         lease = frame.lease
         if frame.HasField('lease') and self.fleet.view.version >= lease.version:
             self.fleet.lease.granted(int(lease.sequence), lease.duration_ms / 1000)
--- a/packages/router/src/hitchdeck_router/process.py
+++ b/packages/router/src/hitchdeck_router/process.py
@@ -144,7 +144,7 @@
         ledger=Ledger(client, settings.box, incarnation, supervisor),
         histograms=Histograms(boot_seconds),
         supervisor=supervisor,
-        endings=endings_of(fleet.quarantine),
+        crash_detector=endings_of(fleet.quarantine),
         backpressure=Backpressure(boot_seconds),
     )
 
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -16,7 +16,7 @@
 
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, LifeId
-from hitchdeck_core.quarantine.endings import Endings, Reaches
+from hitchdeck_core.quarantine.endings import CrashDetector, Probe
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
@@ -45,23 +45,25 @@
         writer.transport.abort()
 
 
-def of_router(address: Address) -> Reaches:
+def of_router(address: Address) -> Probe:
     return partial(takes_connections, address)
 
 
-def of_box(address: Address) -> Reaches:
+def of_box(address: Address) -> Probe:
     upstream = replace(engine('e0'), address=address)
     return partial(Connections(boot_seconds).reaches, upstream)
 
 
 @pytest.mark.parametrize('asker', [of_router, of_box])
 async def test_an_end_that_still_took_a_connection_is_found(
-    asker: Callable[[Address], Reaches],
+    asker: Callable[[Address], Probe],
 ) -> None:
     ended: list[LifeId] = []
-    endings = Endings(Quarantine(boot_seconds, Signal()), ended.append)
+    crash_detector = CrashDetector(Quarantine(boot_seconds, Signal()), ended.append)
     reaches = asker(await Ending().listen())
-    endings.note(LifeId('e0'), fingerprint_of(b'lethal'), reaches)
+    crash_detector.record_broken_response(
+        LifeId('e0'), fingerprint_of(b'lethal'), reaches
+    )
     async with asyncio.timeout(SECONDS):
         while not ended:
             await asyncio.sleep(0.02)
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -9,26 +9,26 @@
 
 from hitchdeck_core.ids import LifeId
 from hitchdeck_core.quarantine.casualties import (
-    MOST_REMEMBERED,
-    REMEMBERED_SECONDS,
-    Casualties,
-    Casualty,
+    CRASH_TTL_SECONDS,
+    MAX_CRASH_RECORDS,
+    CrashHistory,
+    CrashRecord,
 )
-from hitchdeck_core.quarantine.endings import SUSPICION_TTL_SECONDS, Endings
+from hitchdeck_core.quarantine.endings import SUSPICION_TTL_SECONDS, CrashDetector
 from hitchdeck_core.quarantine.fingerprints import Fingerprint, fingerprint_of
-from hitchdeck_core.quarantine.messages import decode_news, encode_news
+from hitchdeck_core.quarantine.messages import decode_update, encode_update
 from hitchdeck_core.quarantine.quarantine import (
-    ANSWERED_SECONDS,
-    NOTHING,
-    News,
+    ANSWER_TTL_SECONDS,
+    SYNC_START,
     Quarantine,
+    QuarantineUpdate,
 )
 from hitchdeck_core.quarantine.verdicts import (
-    MOST_VERDICTS,
+    MAX_VERDICTS,
     QUARANTINE_SECONDS,
-    Standing,
     Verdict,
     Verdicts,
+    VerdictStatus,
 )
 from hitchdeck_core.signals import Signal
 
@@ -53,10 +53,10 @@
 
 def end_lives(quarantine: Quarantine, *open_there: tuple[Fingerprint, ...]) -> None:
     for number, there in enumerate(open_there):
-        quarantine.note_end(LifeId(f'e{number}'), there)
+        quarantine.record_crash(LifeId(f'e{number}'), there)
 
 
-def verdict_of(number: int, standing: Standing, since: float = 1000.0) -> Verdict:
+def verdict_of(number: int, standing: VerdictStatus, since: float = 1000.0) -> Verdict:
     return Verdict(LETHAL, number, standing, since)
 
 
@@ -88,40 +88,40 @@
 def test_blame_goes_to_what_was_at_most_ends(case: Blame) -> None:
     quarantine = quarantine_by(ByHand())
     end_lives(quarantine, *case.ends)
-    blamed = {one for one in (LETHAL, SOUND, OTHER) if quarantine.holds(one)}
+    blamed = {one for one in (LETHAL, SOUND, OTHER) if quarantine.is_quarantined(one)}
     assert blamed == case.blamed
 
 
 def test_one_end_counts_once_however_many_boxes_saw_it() -> None:
     quarantine = quarantine_by(ByHand())
     for _ in range(5):
-        quarantine.note_end(LifeId('e0'), [LETHAL])
-    assert not quarantine.holds(LETHAL)
+        quarantine.record_crash(LifeId('e0'), [LETHAL])
+    assert not quarantine.is_quarantined(LETHAL)
 
 
 def test_ends_that_are_long_past_are_forgotten() -> None:
     clock = ByHand()
     quarantine = quarantine_by(clock)
     end_lives(quarantine, (LETHAL,), (LETHAL,))
-    clock.seconds += REMEMBERED_SECONDS + 1
-    quarantine.note_end(LifeId('late'), [LETHAL])
-    assert not quarantine.holds(LETHAL)
+    clock.seconds += CRASH_TTL_SECONDS + 1
+    quarantine.record_crash(LifeId('late'), [LETHAL])
+    assert not quarantine.is_quarantined(LETHAL)
 
 
 def test_what_is_remembered_of_ends_is_bounded() -> None:
-    casualties = Casualties(float)
-    for number in range(MOST_REMEMBERED + 100):
-        casualties.add(Casualty(Fingerprint(b'%d' % number), LifeId('e')))
-    assert len(casualties.order) == MOST_REMEMBERED
-    assert len(casualties.by_content) == MOST_REMEMBERED
-    assert len(casualties.by_life[LifeId('e')]) == MOST_REMEMBERED
+    crashes = CrashHistory(float)
+    for number in range(MAX_CRASH_RECORDS + 100):
+        crashes.add(CrashRecord(Fingerprint(b'%d' % number), LifeId('e')))
+    assert len(crashes.order) == MAX_CRASH_RECORDS
+    assert len(crashes.by_fingerprint) == MAX_CRASH_RECORDS
+    assert len(crashes.by_incarnation[LifeId('e')]) == MAX_CRASH_RECORDS
 
 
 def test_verdicts_are_bounded() -> None:
     verdicts = Verdicts(float)
-    for number in range(MOST_VERDICTS + 10):
+    for number in range(MAX_VERDICTS + 10):
         verdicts.quarantine(Fingerprint(b'%d' % number))
-    assert len(verdicts.known) == len(verdicts.change_numbers) == MOST_VERDICTS
+    assert len(verdicts.known) == len(verdicts.change_numbers) == MAX_VERDICTS
 
 
 @pytest.mark.parametrize(
@@ -133,74 +133,74 @@
     quarantine = quarantine_by(clock)
     end_lives(quarantine, (LETHAL,), (LETHAL,), (LETHAL,))
     clock.seconds += seconds
-    assert quarantine.holds(LETHAL) is held
+    assert quarantine.is_quarantined(LETHAL) is held
 
 
 @pytest.mark.parametrize(
     ('before', 'held'),
-    [(0.0, False), (ANSWERED_SECONDS - 1, False), (ANSWERED_SECONDS + 1, True)],
+    [(0.0, False), (ANSWER_TTL_SECONDS - 1, False), (ANSWER_TTL_SECONDS + 1, True)],
 )
 def test_an_answer_of_late_speaks_for_a_content(before: float, held: bool) -> None:
     clock = ByHand()
     quarantine = quarantine_by(clock)
-    quarantine.note_answer(SOUND)
+    quarantine.record_answer(SOUND)
     clock.seconds += before
     end_lives(quarantine, (SOUND,), (SOUND,), (SOUND,))
-    assert quarantine.holds(SOUND) is held
+    assert quarantine.is_quarantined(SOUND) is held
 
 
 def test_an_answer_elsewhere_clears_a_content_for_all() -> None:
     clock = ByHand()
     hub, box = quarantine_by(clock), quarantine_by(clock)
     end_lives(hub, (SOUND,), (SOUND,), (SOUND,))
-    box.note_answer(SOUND)
-    news, _ = hub.news_since(NOTHING)
-    box.take(news, 'hub')
-    back, _ = box.news_since(NOTHING)
-    hub.take(back, 'box')
-    assert not box.holds(SOUND)
-    assert not hub.holds(SOUND)
+    box.record_answer(SOUND)
+    news, _ = hub.update_since(SYNC_START)
+    box.merge(news, 'hub')
+    back, _ = box.update_since(SYNC_START)
+    hub.merge(back, 'box')
+    assert not box.is_quarantined(SOUND)
+    assert not hub.is_quarantined(SOUND)
 
 
 def test_a_content_that_was_cleared_is_not_blamed_for_the_same_ends_again() -> None:
     clock = ByHand()
     hub, box = quarantine_by(clock), quarantine_by(clock)
     end_lives(box, (SOUND,), (SOUND,), (SOUND,))
-    box.note_answer(SOUND)
-    hub.take(box.news_since(NOTHING)[0], 'box')
-    assert not hub.holds(SOUND)
+    box.record_answer(SOUND)
+    hub.merge(box.update_since(SYNC_START)[0], 'box')
+    assert not hub.is_quarantined(SOUND)
 
 
 def test_an_end_that_is_told_again_is_no_news() -> None:
     hub, box = quarantine_by(ByHand()), quarantine_by(ByHand())
     end_lives(box, (LETHAL,), (LETHAL, SOUND))
-    news, _ = box.news_since(NOTHING)
-    assert hub.take(news, 'box') == {'e0', 'e1'}
-    assert hub.take(news, 'box') == set()
+    news, _ = box.update_since(SYNC_START)
+    assert hub.merge(news, 'box') == {'e0', 'e1'}
+    assert hub.merge(news, 'box') == set()
 
 
 def test_only_what_is_new_is_told() -> None:
     quarantine = quarantine_by(ByHand())
     end_lives(quarantine, (LETHAL,), (LETHAL,))
-    first, told = quarantine.news_since(NOTHING)
-    quarantine.note_end(LifeId('third'), [LETHAL])
-    second, told = quarantine.news_since(told)
-    third, _ = quarantine.news_since(told)
-    assert len(first.casualties) == 2
-    assert second.casualties == (Casualty(LETHAL, LifeId('third')),)
-    assert [one.standing for one in second.verdicts] == [Standing.quarantined]
-    assert third == News((), ())
+    first, told = quarantine.update_since(SYNC_START)
+    quarantine.record_crash(LifeId('third'), [LETHAL])
+    second, told = quarantine.update_since(told)
+    third, _ = quarantine.update_since(told)
+    assert len(first.crashes) == 2
+    assert second.crashes == (CrashRecord(LETHAL, LifeId('third')),)
+    assert [one.status for one in second.verdicts] == [VerdictStatus.quarantined]
+    assert third == QuarantineUpdate((), ())
 
 
 @given(
     st.permutations(
         [
-            verdict_of(0, Standing.quarantined),
-            verdict_of(1, Standing.cleared),
-            verdict_of(1, Standing.quarantined),
-            verdict_of(2, Standing.cleared),
-            verdict_of(0, Standing.cleared),
-            verdict_of(9, Standing.quarantined, since=1000 - QUARANTINE_SECONDS),
+            verdict_of(0, VerdictStatus.quarantined),
+            verdict_of(1, VerdictStatus.cleared),
+            verdict_of(1, VerdictStatus.quarantined),
+            verdict_of(2, VerdictStatus.cleared),
+            verdict_of(0, VerdictStatus.cleared),
+            verdict_of(9, VerdictStatus.quarantined, since=1000 - QUARANTINE_SECONDS),
         ],
     ),
     st.integers(1, 6),
@@ -210,15 +210,15 @@
     heard = order + order[:again]
     for verdict in heard:
         verdicts.merge(verdict)
-    assert verdicts.known[LETHAL] == verdict_of(2, Standing.cleared)
+    assert verdicts.known[LETHAL] == verdict_of(2, VerdictStatus.cleared)
 
 
 def test_news_comes_through_a_message_with_its_age() -> None:
     quarantine = quarantine_by(ByHand())
     end_lives(quarantine, (LETHAL, SOUND), (LETHAL,), (LETHAL,))
-    news, _ = quarantine.news_since(NOTHING)
-    decoded = decode_news(encode_news(news, 1002.5), 50.0)
-    assert decoded.casualties == news.casualties
+    news, _ = quarantine.update_since(SYNC_START)
+    decoded = decode_update(encode_update(news, 1002.5), 50.0)
+    assert decoded.crashes == news.crashes
     assert [one.since for one in decoded.verdicts] == [47.5]
 
 
@@ -244,18 +244,18 @@
     quarantine = quarantine_by(ByHand())
     ended: list[LifeId] = []
     asked = count()
-    endings = Endings(quarantine, ended.append)
+    crash_detector = CrashDetector(quarantine, ended.append)
 
     async def reaches() -> bool:
         next(asked)
         return reached
 
-    endings.note(LifeId('e0'), LETHAL, reaches)
-    endings.note(LifeId('e0'), SOUND, reaches)
-    await endings.tasks.tasks['e0-1']
+    crash_detector.record_broken_response(LifeId('e0'), LETHAL, reaches)
+    crash_detector.record_broken_response(LifeId('e0'), SOUND, reaches)
+    await crash_detector.tasks.tasks['e0-1']
     assert next(asked) == 1
     assert ended == ([] if reached else ['e0'])
-    assert len(quarantine.seen) == (0 if reached else 2)
+    assert len(quarantine.own_crashes) == (0 if reached else 2)
 
 
 @pytest.mark.parametrize(
@@ -266,13 +266,13 @@
 ) -> None:
     clock = ByHand()
     quarantine = quarantine_by(clock)
-    endings = Endings(quarantine, str)
+    crash_detector = CrashDetector(quarantine, str)
 
     async def reaches() -> bool:
         return True
 
-    endings.note(LifeId('e0'), LETHAL, reaches)
-    await endings.tasks.tasks['e0-1']
+    crash_detector.record_broken_response(LifeId('e0'), LETHAL, reaches)
+    await crash_detector.tasks.tasks['e0-1']
     clock.seconds += seconds
-    endings.confirm(LifeId('e0'))
-    assert bool(quarantine.seen) is counted
+    crash_detector.confirm_crash(LifeId('e0'))
+    assert bool(quarantine.own_crashes) is counted
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -85,11 +85,11 @@
     lethal = Fingerprint(b'lethal')
     before = Quarantine(boot_seconds, Signal())
     for number in range(3):
-        before.note_end(LifeId(f'e{number}'), [lethal])
+        before.record_crash(LifeId(f'e{number}'), [lethal])
     await until_written(quarantine_file(tmp_path, before))
     after = Quarantine(boot_seconds, Signal())
     quarantine_file(tmp_path, after).recall()
-    assert after.holds(lethal)
+    assert after.is_quarantined(lethal)
 
 
 @pytest.mark.parametrize('content', [b'', b'no frame', b'\x00' * 40])
