--- a/bench/owed.py
+++ b/bench/owed.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from hitchdeck_core.ids import AccountName
-from hitchdeck_edge.scheduling.shares import even_level
+from hitchdeck_edge.scheduling.shares import fair_share_level
 
 SHARE_WINDOW = 4.0
 """Seconds in which an account is owed its share."""
@@ -36,7 +36,7 @@
         tokens[window][account] += size
     parts: dict[Cell, float] = {}
     for window, counts in tokens.items():
-        level = even_level(dict(counts), capacity * SHARE_WINDOW)
+        level = fair_share_level(dict(counts), capacity * SHARE_WINDOW)
         for account, count in counts.items():
             parts[window, account] = min(1, level / max(1, count))
     return parts
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -132,7 +132,7 @@
             await self._deliver(service, last)
             return
         # Callers came back after 0.1 s to a box with nothing for them for longer.
-        pause = self.chooser.pause_left(service.context.pool.name)
+        pause = self.chooser.backoff_left(service.context.pool.name)
         if pause and refusal in NOBODY_TAKES_IT:
             service.answers.give_up(Refusal.paused, pause)
             return
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -188,7 +188,7 @@
         head = await self._own_head(service.context, attempt, connection)
         attempt.head = head
         mark = self.adapter.read_answer(head.status, head.headers)
-        attempt.pause = mark.pause
+        attempt.pause = mark.backoff
         attempt.leaving = mark.leaving
         if mark.other_incarnation:
             self.placement.health.record_wrong_upstream(attempt.upstream)
@@ -255,7 +255,7 @@
         """Keep to what an upstream asks for in an answer, to whichever request."""
         # 438 requests went to upstreams that had asked this box for a pause,
         # within five seconds of load.
-        self.backpressure.pause(name, mark.pause)
+        self.backpressure.pause(name, mark.backoff)
         # A box in reach of no hub sent 12 of 12 further requests to one that left.
         if mark.leaving:
             self.backpressure.leave(name)
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -128,7 +128,7 @@
         quarantine = self.known.quarantine
         told = self.told.get(hub, SYNC_START)
         news, self.told[hub] = quarantine.update_since(told)
-        if news.casualties or news.verdicts:
+        if news.crashes or news.verdicts:
             frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _tell_suspicions(self, hub: Address, frame: BoxFrame) -> None:
--- a/packages/edge/src/hitchdeck_edge/model/calls.py
+++ b/packages/edge/src/hitchdeck_edge/model/calls.py
@@ -65,7 +65,7 @@
 
     ``sealed`` says that the upstream vouches for it as its own; ``not_run``
     is its word that it did not run the request; ``other_incarnation`` that another
-    upstream has the address by now.  ``pause`` is for how many seconds it wants
+    upstream has the address by now.  ``backoff`` is for how many seconds it wants
     nothing from this box, 0 where it does not say; ``leaving`` that it leaves.
     """
 
@@ -73,5 +73,5 @@
     sealed: bool
     not_run: bool
     other_incarnation: bool
-    pause: float = 0.0
+    backoff: float = 0.0
     leaving: bool = False
--- a/packages/edge/src/hitchdeck_edge/model/document.py
+++ b/packages/edge/src/hitchdeck_edge/model/document.py
@@ -37,7 +37,8 @@
 
     ``time_limit`` is the longest a request may be held, ``goal`` the time in
     which its answer is worth most, ``gap_goal`` the longest pause between two
-    events of a stream that is still on time.  ``allowed_areas`` are the areas in which its
+    events of a stream that is still on time.
+    ``allowed_areas`` are the areas in which its
     requests may be served; everywhere if empty.
     """
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -29,7 +29,7 @@
         """Give back a place that is not used, so that nobody counts it as taken."""
         self.link.give_back(choice.ticket)
 
-    def pause_left(self, pool: PoolName) -> float:
+    def backoff_left(self, pool: PoolName) -> float:
         """Return how long every upstream of a pool wants a pause, in seconds."""
         serving = self.local.placement.registry.serving(pool)
         return self.backpressure.seconds_left(one.name for one in serving)
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -25,7 +25,7 @@
 find empty engines, but who comes first must not take a whole window's."""
 
 
-def even_level(asked: Mapping[AccountName, float], capacity: float) -> float:
+def fair_share_level(asked: Mapping[AccountName, float], capacity: float) -> float:
     """Return the most that an account gets when all share a capacity.
 
     Accounts that ask for less get what they ask for, and the rest is shared
@@ -132,7 +132,7 @@
         asked = self._asked_by_all()
         if not asked.get(account):
             return 0
-        level = even_level(asked, self._window_capacity(sum(asked.values())))
+        level = fair_share_level(asked, self._window_capacity(sum(asked.values())))
         own_part = self.asked.tokens[account] / max(1, asked[account])
         return self.granted.tokens[account] / max(1, level * own_part)
 
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -179,7 +179,7 @@
     def _add_news(self, beat: RouterBeat) -> None:
         quarantine = self.fleet.quarantine
         news, self.told = quarantine.update_since(self.told)
-        if news.casualties or news.verdicts:
+        if news.crashes or news.verdicts:
             beat.quarantine.CopyFrom(encode_update(news, quarantine.now()))
 
     def _take(self, frame: ControlFrame) -> None:
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -132,7 +132,7 @@
     pause: float,
 ) -> None:
     mark = read_answer(status, [(b'retry-after', given.encode())])
-    assert mark.pause == pause
+    assert mark.backoff == pause
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.scheduling.shares import even_level
+from hitchdeck_edge.scheduling.shares import fair_share_level
 from tests.common.scheduling import (
     FakeClock,
     account,
@@ -39,7 +39,7 @@
     granted = played(asks, PACE, SECONDS, int(PACE * stated))
     asked = {name: 1000.0 * SECONDS * often for name, often in asks.items()}
     named = {account(name): amount for name, amount in asked.items()}
-    level = even_level(named, PACE * SECONDS)
+    level = fair_share_level(named, PACE * SECONDS)
     for name, amount in asked.items():
         assert granted[name] > 0.8 * min(level, amount)
     assert granted.total() > PACE * SECONDS * 0.95
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -14,7 +14,7 @@
 from hitchdeck_edge.scheduling.memory import PrefixCacheModel
 from hitchdeck_edge.scheduling.patience import max_queue_seconds
 from hitchdeck_edge.scheduling.placement import Placement
-from hitchdeck_edge.scheduling.shares import even_level
+from hitchdeck_edge.scheduling.shares import fair_share_level
 from hitchdeck_edge.state.registry import Registry
 from tests.common.scheduling import (
     FakeClock,
@@ -44,7 +44,7 @@
     level: float,
 ) -> None:
     named = {account(name): amount for name, amount in asked.items()}
-    assert even_level(named, capacity) == level
+    assert fair_share_level(named, capacity) == level
 
 
 @pytest.mark.parametrize('flood', [20, 60])
