--- a/packages/core/src/hitchdeck_core/quarantine/messages.py
+++ b/packages/core/src/hitchdeck_core/quarantine/messages.py
@@ -1,7 +1,7 @@
 """News of quarantined contents as they travel between processes."""
 
 from hitchdeck_core.ids import LifeId
-from hitchdeck_core.quarantine.casualties import CrashRecord
+from hitchdeck_core.quarantine.crash_history import CrashRecord
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import QuarantineUpdate
 from hitchdeck_core.quarantine.verdicts import Verdict, VerdictStatus
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -13,7 +13,7 @@
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import LifeId
-from hitchdeck_core.quarantine.casualties import (
+from hitchdeck_core.quarantine.crash_history import (
     MAX_CRASH_RECORDS,
     CrashHistory,
     CrashRecord,
--- a/packages/edge/src/hitchdeck_edge/dispatch/answers.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/answers.py
@@ -6,10 +6,10 @@
 from hitchdeck_core.ids import RequestId
 from hitchdeck_core.retry_after import RETRY_AFTER
 from hitchdeck_edge.dispatch.exchange import Head
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Header
-from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import AnswerHeaders, Caller
 
 NOT_FORWARDED = frozenset(
--- a/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/attempts.py
@@ -8,9 +8,9 @@
 from hitchdeck_edge.dispatch.answers import Answers
 from hitchdeck_edge.dispatch.exchange import Head
 from hitchdeck_edge.dispatch.relay import Relay
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.scheduling.books import OpenWorkEntry
+from hitchdeck_edge.model.request_context import RequestContext
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 from hitchdeck_edge.serving.caller import Caller
 
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/dispatcher.py
@@ -12,10 +12,10 @@
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.dispatch.relay import Relay
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.model.passage import RequestContext
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.caller import Caller
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/relay.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/relay.py
@@ -5,7 +5,7 @@
 from hitchdeck_edge.dispatch.answers import answer_headers
 from hitchdeck_edge.dispatch.events import EventSplitter
 from hitchdeck_edge.dispatch.exchange import Connection, Head
-from hitchdeck_edge.model.passage import RequestContext
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import Caller
 
 
--- a/packages/edge/src/hitchdeck_edge/dispatch/sender.py
+++ b/packages/edge/src/hitchdeck_edge/dispatch/sender.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.busyness import busy_part
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import CrashDetector
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_edge.dispatch.attempts import Attempt, Service, Verdict, verdict_on
 from hitchdeck_edge.dispatch.connections import Connections
@@ -19,13 +19,13 @@
     NotWantedError,
 )
 from hitchdeck_edge.links.placing import SHORT_OF_TIME
+from hitchdeck_edge.model.adapter import Forwarding, PlatformAdapter
 from hitchdeck_edge.model.calls import ResponseMarks
-from hitchdeck_edge.model.dialect import Forwarding, PlatformAdapter
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import OpenWorkEntry
 from hitchdeck_edge.scheduling.chooser import Chooser
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 
 STALE_ANSWERS = 2
 """Answers to earlier requests that are skipped on one connection."""
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -14,7 +14,7 @@
 from hitchdeck_edge.links.intake import take_news
 from hitchdeck_edge.links.records import encode_suspicion
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import FleetState
+from hitchdeck_edge.state.fleet_state import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_edge.state.tallies import Tally, tally_of
 
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.links.entry import EntryLink
 from hitchdeck_edge.links.hubs import HubBook
 from hitchdeck_edge.links.placing import PlacingLink
-from hitchdeck_edge.model.dialect import PlatformAdapter
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
 from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
@@ -28,7 +28,7 @@
 from hitchdeck_edge.serving.handoff import Handoff
 from hitchdeck_edge.serving.stopping import Stopping
 from hitchdeck_edge.settings import EntrySettings
-from hitchdeck_edge.state.knowledge import FleetState, new_fleet_state
+from hitchdeck_edge.state.fleet_state import FleetState, new_fleet_state
 from hitchdeck_edge.state.relief import ReliefTargets
 
 STOP_POLL_SECONDS = 0.1
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -5,9 +5,9 @@
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.ids import PoolName
 from hitchdeck_edge.links.placing import PlacingLink
-from hitchdeck_edge.model.passage import THIS_BOX, RequestContext
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import THIS_BOX, RequestContext
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -17,11 +17,11 @@
 from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
+from hitchdeck_edge.scheduling.engine_speed import EngineSpeed
 from hitchdeck_edge.scheduling.health import Health
-from hitchdeck_edge.scheduling.memory import PrefixCacheModel
-from hitchdeck_edge.scheduling.pace import EngineSpeed
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry, OpenWorkTable
+from hitchdeck_edge.scheduling.prefix_cache import PrefixCacheModel
 from hitchdeck_edge.state.registry import Registry
 
 RUNNING_TOKENS = 40
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -17,9 +17,9 @@
 from hitchdeck_edge.model.mechanisms import ALL_MECHANISMS, Mechanisms
 from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
-from hitchdeck_edge.scheduling.books import OpenWorkEntry, OpenWorkTable
-from hitchdeck_edge.scheduling.patience import max_queue_seconds
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry, OpenWorkTable
 from hitchdeck_edge.scheduling.placement import NO_AREAS, Areas, Placement
+from hitchdeck_edge.scheduling.queue_limit import max_queue_seconds
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.settings import BoxSettings
 from hitchdeck_edge.state.documents import Documents
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -11,11 +11,11 @@
 from hitchdeck_edge.dispatch.attempts import Service
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.errors import CallerGoneError, CallError
+from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.dialect import PlatformAdapter
 from hitchdeck_edge.model.document import Route, common_areas
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving.caller import Caller
 from hitchdeck_edge.serving.front import Reading
 from hitchdeck_edge.serving.gauges import Gauges
@@ -23,7 +23,7 @@
 from hitchdeck_edge.serving.rejections import Rejections
 from hitchdeck_edge.serving.shedding import Shedder
 from hitchdeck_edge.serving.stopping import Stopping
-from hitchdeck_edge.state.knowledge import FleetState
+from hitchdeck_edge.state.fleet_state import FleetState
 
 CALLER_GONE = 'caller gone'
 """Outcome of a request whose caller closed its connection first."""
--- a/packages/edge/src/hitchdeck_edge/serving/gauges.py
+++ b/packages/edge/src/hitchdeck_edge/serving/gauges.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.model.passage import THIS_BOX, RequestContext
+from hitchdeck_edge.model.request_context import THIS_BOX, RequestContext
 
 MS = 1000.0
 SERIES = 60
--- a/packages/edge/src/hitchdeck_edge/state/knowledge.py
+++ b/packages/edge/src/hitchdeck_edge/state/fleet_state.py
@@ -5,8 +5,8 @@
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.dialect import PlatformAdapter
-from hitchdeck_edge.scheduling.books import OpenWorkTable
+from hitchdeck_edge.model.adapter import PlatformAdapter
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.scheduler import Scheduler, new_scheduler
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
--- a/packages/router/src/hitchdeck_router/context.py
+++ b/packages/router/src/hitchdeck_router/context.py
@@ -6,7 +6,7 @@
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_core.ids import Incarnation
-from hitchdeck_core.quarantine.endings import CrashDetector
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.settings import RouterSection
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_router.dispatch.budget import RetryBudget
--- a/packages/router/src/hitchdeck_router/dispatch/ends.py
+++ b/packages/router/src/hitchdeck_router/dispatch/ends.py
@@ -4,7 +4,7 @@
 
 from hitchdeck_core.clock import wall_seconds
 from hitchdeck_core.ids import LifeId, UpstreamName
-from hitchdeck_core.quarantine.endings import CrashDetector
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
 from hitchdeck_core.resources import Upstream
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -16,7 +16,7 @@
 
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, LifeId
-from hitchdeck_core.quarantine.endings import CrashDetector, Probe
+from hitchdeck_core.quarantine.crash_detector import CrashDetector, Probe
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -8,13 +8,16 @@
 from hypothesis import strategies as st
 
 from hitchdeck_core.ids import LifeId
-from hitchdeck_core.quarantine.casualties import (
+from hitchdeck_core.quarantine.crash_detector import (
+    SUSPICION_TTL_SECONDS,
+    CrashDetector,
+)
+from hitchdeck_core.quarantine.crash_history import (
     CRASH_TTL_SECONDS,
     MAX_CRASH_RECORDS,
     CrashHistory,
     CrashRecord,
 )
-from hitchdeck_core.quarantine.endings import SUSPICION_TTL_SECONDS, CrashDetector
 from hitchdeck_core.quarantine.fingerprints import Fingerprint, fingerprint_of
 from hitchdeck_core.quarantine.messages import decode_update, encode_update
 from hitchdeck_core.quarantine.quarantine import (
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -9,11 +9,11 @@
 from hitchdeck_edge.dispatch.budget import RepeatBudget
 from hitchdeck_edge.links.entry import DIGEST_SECONDS, EntryLink
 from hitchdeck_edge.links.hubs import HubBook
-from hitchdeck_edge.scheduling.books import OpenWorkEntry
+from hitchdeck_edge.scheduling.open_work import OpenWorkEntry
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import Evacuations
-from hitchdeck_edge.state.knowledge import FleetState
+from hitchdeck_edge.state.fleet_state import FleetState
 from hitchdeck_edge.state.relief import ReliefTargets
 from hitchdeck_platform.documents import read_document
 from tests.common.scheduling import FakeClock, scheduler_of
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -20,7 +20,7 @@
 from hitchdeck_edge.links.records import decode_upstream as decode_record
 from hitchdeck_edge.links.records import encode_upstream
 from hitchdeck_edge.model.upstreams import Upstream
-from hitchdeck_edge.scheduling.books import OpenWorkTable
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from hitchdeck_platform.doors import decode_upstream
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -13,9 +13,9 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import OTHER_BOX_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving import admission, caller
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_site import HOST, KEY, Site, document, running_site
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -4,7 +4,7 @@
 
 from hitchdeck_core.ids import AccountName
 from hitchdeck_core.retry_after import LONGEST_SECONDS
-from hitchdeck_edge.model.dialect import Forwarding
+from hitchdeck_edge.model.adapter import Forwarding
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_platform.requests import forward_headers, read_answer, read_call
 from tests.common.scheduling import engine
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -7,7 +7,7 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import OpenWorkTable
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
 from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from tests.common.scheduling import FakeClock, engine, prompt
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -10,10 +10,10 @@
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import OpenWorkTable
-from hitchdeck_edge.scheduling.memory import PrefixCacheModel
-from hitchdeck_edge.scheduling.patience import max_queue_seconds
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
+from hitchdeck_edge.scheduling.prefix_cache import PrefixCacheModel
+from hitchdeck_edge.scheduling.queue_limit import max_queue_seconds
 from hitchdeck_edge.scheduling.shares import fair_share_level
 from hitchdeck_edge.state.registry import Registry
 from tests.common.scheduling import (
--- a/tests/edge/test_unread_closes.py
+++ b/tests/edge/test_unread_closes.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from hitchdeck_edge.model.passage import RequestContext
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.model.refusals import Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from standins.platform_site import HOST, KEY, Site, running_site
 
 PROMPT = 'Model: m\r\nToken-Count: 300,40\r\nPrompt-Prefix: aa:100,bb:200\r\n'
