--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -129,19 +129,19 @@
         ]
         return trusted or serving
 
-    def measure(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
+    def measure(self, entry: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a first event took."""
-        seconds = self.open_work.now() - ticket.opened
+        seconds = self.open_work.now() - entry.opened
         speed = self.speed.read_rate(query.pool)
-        self.speed.measure(query.pool, ticket.expected, seconds)
-        expected = max(ticket.expected / speed, query.goal / 4)
+        self.speed.measure(query.pool, entry.expected, seconds)
+        expected = max(entry.expected / speed, query.goal / 4)
         ratio = min(MAX_SLOWNESS, max(1, seconds / expected))
-        self.health.measure_slowness(ticket.upstream, ratio)
+        self.health.measure_slowness(entry.upstream, ratio)
 
-    def measure_run(self, ticket: OpenWorkEntry, query: PlacementQuery) -> None:
+    def measure_run(self, entry: OpenWorkEntry, query: PlacementQuery) -> None:
         """Learn from how long a request held its place."""
-        if not ticket.reading:
-            self.speed.measure_run(query.pool, self.open_work.now() - ticket.opened)
+        if not entry.reading:
+            self.speed.measure_run(query.pool, self.open_work.now() - entry.opened)
 
     def forget_gone(self) -> None:
         """Drop what was learned of upstreams that are gone.
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -39,7 +39,7 @@
     ``query`` is absent where nothing is to be learned of it.
     """
 
-    ticket: OpenWorkEntry
+    entry: OpenWorkEntry
     query: PlacementQuery | None
 
 
@@ -103,19 +103,19 @@
     ) -> None:
         """Enter a request that is open at an engine."""
         self.end(key)
-        ticket = OpenWorkEntry(self.placement.open_work, upstream, unread)
-        self.open[key] = OpenRequest(ticket, query)
+        entry = OpenWorkEntry(self.placement.open_work, upstream, unread)
+        self.open[key] = OpenRequest(entry, query)
 
     def start(self, key: BoxTicket, *, learn: bool = True) -> None:
         """Note the first event of a request; ``learn`` of its engine by it."""
         known = self.open.get(key)
-        if known is None or not known.ticket.reading:
+        if known is None or not known.entry.reading:
             return
-        known.ticket.start()
+        known.entry.start()
         if not learn:
             known.query = None
         if known.query is not None:
-            self.placement.measure(known.ticket, known.query)
+            self.placement.measure(known.entry, known.query)
 
     def end(self, key: BoxTicket) -> None:
         """Note the end of a request."""
@@ -123,8 +123,8 @@
         if known is None:
             return
         if known.query is not None:
-            self.placement.measure_run(known.ticket, known.query)
-        known.ticket.close()
+            self.placement.measure_run(known.entry, known.query)
+        known.entry.close()
 
     def drop_box(self, box: str) -> None:
         """Forget what a box has open: it names it to whoever comes next."""
