--- a/packages/edge/src/hitchdeck_edge/scheduling/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing an upstream, and whose turn it is."""
+"""Placement of requests on upstreams, and fair sharing between accounts."""
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -1,4 +1,4 @@
-"""Who chooses: the scheduler if it answers, else this box by itself."""
+"""Choosing upstreams by the fleet's scheduler, or locally when it does not answer."""
 
 from dataclasses import replace
 
@@ -14,9 +14,12 @@
 class Chooser:
     """Chooses upstreams for a box's requests.
 
-    ``backpressure`` is what upstreams asked of this box: it says with each
-    question which of them it may not use, so the scheduler, who has not heard
-    their answers, need not remember it for every box.
+    Attributes
+    ----------
+    backpressure
+        Backoff that upstreams requested from this box.  Each query to the scheduler
+        lists the upstreams to avoid, since the scheduler does not see their
+        responses and would otherwise have to keep this state for every box.
     """
 
     def __init__(self, domain: str, local: Scheduler, link: PlacingLink) -> None:
@@ -26,16 +29,16 @@
         self.backpressure = Backpressure(link.now)
 
     def give_back(self, choice: Choice) -> None:
-        """Give back a place that is not used, so that nobody counts it as taken."""
+        """Release a choice that is not used, so that it no longer counts as load."""
         self.link.give_back(choice.ticket)
 
     def backoff_left(self, pool: PoolName) -> float:
-        """Return how long every upstream of a pool wants a pause, in seconds."""
+        """Return the seconds until some upstream of a pool accepts requests again."""
         serving = self.local.placement.registry.serving(pool)
         return self.backpressure.seconds_left(one.name for one in serving)
 
     async def choose(self, context: RequestContext) -> Choice | Refusal:
-        """Return the upstream to send a request to, or why it is refused."""
+        """Return the upstream to send a request to, or the reason for refusing it."""
         query = context.placement_query(self.domain)
         closed = self.backpressure.closed()
         if closed:
@@ -51,7 +54,8 @@
             context.decided_by = THIS_BOX
             return self.local.decide(query)
         context.decided_by = scheduler or ''
-        # Count as if this box had decided: it may soon have to.
+        # Keep the local share counts current: if the scheduler is lost, this box
+        # decides by them.
         self.local.shares.ask(query)
         if isinstance(decision, Choice):
             self.local.shares.grant(query)
--- a/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
@@ -1,10 +1,10 @@
-"""How many requests a cold upstream is sent, over all who decide.
+"""Rate limit for requests to cold upstreams, over all processes that place requests.
 
-A cold upstream fails under more requests a second than its pool states, whichever
-processes send them.  Each process that decides has a part of that rate, in proportion
-to the boxes that it decides for, so the parts add up to one rate without a message.
-Sends are spaced evenly, and a slot that was not used in time is lost: unused parts of
-many boxes must not add up to a burst.
+A cold upstream fails if it gets more requests per second than its pool states, from
+whichever processes.  Each process that places requests uses a fraction of that rate,
+in proportion to the boxes it places for, so the fractions add up to the whole rate
+without coordination.  Sends are spaced evenly, and a slot that is not used in time
+expires: unused slots of many boxes must not add up to a burst.
 """
 
 import math
@@ -18,35 +18,37 @@
 from hitchdeck_edge.state.cold import ColdUpstreams
 
 USED_FRACTION = 0.8
-"""Part of the stated rate that is used: sends that are spaced here arrive less evenly,
-and some are decided before an upstream is known to be cold."""
+"""Fraction of the stated rate that is used.  The rest leaves room for requests that
+arrive less evenly than they were sent, and for those that were placed before the
+upstream was known to be cold."""
 
 SLOT_TTL_SECONDS = 0.5
-"""How long a slot can be used."""
+"""Time after which an unused slot expires."""
 
 _NEVER = 1e6
-"""Interval of a process without a part, in seconds."""
+"""Interval between sends for a process whose fraction is 0, in seconds."""
 
 RatePerSecond = Callable[[PoolName], float]
 
 
 @dataclass(slots=True)
 class SendSlots:
-    """When the next slot of a cold upstream begins, and the time between two."""
+    """Start of the next send slot for a cold upstream, and the time between slots."""
 
     next_at: float
     interval: float
 
 
 class ColdBudget:
-    """Spaces requests to cold upstreams.
+    """Limits the rate of requests to cold upstreams.
 
     Attributes
     ----------
     rate_of
-        Requests a second that a cold upstream of a pool bears; 0 where not limited.
+        Returns the requests per second that a cold upstream of a pool can handle; 0
+        if there is no limit.
     part
-        Returns the part of that rate that this process may use, from 0 to 1.
+        Returns the fraction of that rate that this process may use, from 0 to 1.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self.slots: dict[UpstreamName, SendSlots] = {}
 
     def usable(self, upstreams: Collection[Upstream]) -> list[Upstream]:
-        """Return the upstreams that may be sent a request now."""
+        """Return those of the upstreams that may be sent a request now."""
         cold = self.cold.cold_now()
         if not cold:
             self.slots.clear()
@@ -70,7 +72,7 @@
         return [one for one in upstreams if one.name not in cold or self._has_slot(one)]
 
     def spend(self, upstream: Upstream) -> None:
-        """Count a request that is sent to an upstream."""
+        """Use up a send slot of an upstream."""
         slots = self.slots.get(upstream.name)
         if slots is not None:
             slots.next_at = max(slots.next_at + slots.interval, self.now())
@@ -83,7 +85,7 @@
         now = self.now()
         slots = self.slots.get(upstream.name)
         if slots is None:
-            # At random, so that boxes which learn of it at once take turns.
+            # Random phase: many boxes learn of a cold upstream at the same time.
             slots = SendSlots(now + random.uniform(0, interval), interval)
             self.slots[upstream.name] = slots
         slots.interval = interval
--- a/packages/edge/src/hitchdeck_edge/scheduling/health.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/health.py
@@ -1,4 +1,4 @@
-"""What a box has seen of each upstream: failures, and how slow it is."""
+"""Failures and latency of each upstream, as this process observed them."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,45 @@
 from hitchdeck_core.ids import UpstreamName
 
 FIRST_EJECTION_SECONDS = 0.5
-"""After the first failure in a row; doubled with each further one."""
+"""Ejection after the first failure; doubled with each consecutive one."""
 
 MAX_EJECTION_SECONDS = 4.0
-"""Each life of an upstream has a record of its own, so this only bounds how long
-one that was merely out of reach goes unused."""
+"""Each incarnation of an upstream has its own record, so this only bounds how long
+an upstream that was temporarily unreachable goes unused."""
 
 MAX_DOUBLINGS = 16
-"""Far more than reach the longest ejection: after a thousand failures in a row
-the doubled pause no longer was a number, and the request ended in an error."""
+"""Bounds the exponent, far beyond the longest ejection.  After about a thousand
+consecutive failures the doubled time overflowed a float and raised an error."""
 
 CRASHED_SECONDS = 5.0
-"""After a crash that this box found; hubs know of it within one exchange."""
+"""Ejection after a crash that this box detected; hubs know of it within one
+exchange of messages."""
 
 WRONG_UPSTREAM_SECONDS = 30.0
-"""After another upstream answered at its address."""
+"""Ejection after another upstream responded at its address."""
 
 SMOOTHING = 0.2
-"""Weight of the newest measurement: five of them make most of the mean."""
+"""Weight of the newest sample in exponential moving averages: the last five samples
+make up most of the mean."""
 
 
 @dataclass(slots=True)
 class HealthRecord:
-    """What was seen of one upstream."""
+    """Observations of one upstream.
+
+    Attributes
+    ----------
+    failures
+        Consecutive failures.
+    ejected_until
+        End of the ejection on the local clock; 0 if there is none.
+    failure_rate
+        Moving average, from 0 to 1.
+    slowness
+        Moving average of the time to the first token, relative to the expected time.
+    seconds
+        Moving average of the duration of successful requests.
+    """
 
     failures: int = 0
     ejected_until: float = 0.0
@@ -39,7 +55,13 @@
 
 
 class Health:
-    """Records by upstream."""
+    """Health records by upstream.
+
+    Attributes
+    ----------
+    ejected_names
+        Upstreams whose ejection has not been found to have ended yet.
+    """
 
     def __init__(self, now: Clock) -> None:
         self.now = now
@@ -47,15 +69,15 @@
         self.ejected_names: set[UpstreamName] = set()
 
     def record(self, name: UpstreamName) -> HealthRecord:
-        """Return the record of an upstream."""
+        """Return the record of an upstream, created if there is none."""
         return self.records.setdefault(name, HealthRecord())
 
     def is_ejected(self, name: UpstreamName) -> bool:
-        """Tell whether an upstream is to be passed over for now."""
+        """Tell whether an upstream is ejected now."""
         return name in self.ejected()
 
     def ejected(self) -> set[UpstreamName]:
-        """Return the upstreams that are to be passed over for now."""
+        """Return the upstreams that are ejected now."""
         now = self.now()
         for name in list(self.ejected_names):
             if self.record(name).ejected_until <= now:
@@ -63,7 +85,7 @@
         return self.ejected_names
 
     def record_success(self, name: UpstreamName, seconds: float) -> None:
-        """Note a whole answer, and how long it took."""
+        """Record a complete response, and the seconds that it took."""
         known = self.record(name)
         known.failures = 0
         known.ejected_until = 0
@@ -71,12 +93,12 @@
         known.seconds += SMOOTHING * (seconds - known.seconds)
 
     def record_error(self, name: UpstreamName) -> None:
-        """Note an answer that says the upstream failed."""
+        """Record a response with an error status."""
         known = self.record(name)
         known.failure_rate += SMOOTHING * (1 - known.failure_rate)
 
     def record_failure(self, name: UpstreamName, reason: str) -> None:
-        """Note that an upstream was not reached or gave no whole answer."""
+        """Record a failed connection or an incomplete response, and eject for it."""
         known = self.record(name)
         self.record_error(name)
         doublings = min(known.failures, MAX_DOUBLINGS)
@@ -89,17 +111,21 @@
         logs.info('upstream ejected', upstream=name, seconds=pause, reason=reason)
 
     def record_wrong_upstream(self, name: UpstreamName) -> None:
-        """Note that another upstream answered in its place."""
+        """Record that another upstream responded at the address of this one."""
         self._eject(name, WRONG_UPSTREAM_SECONDS)
-        logs.info('upstream misplaced', upstream=name, seconds=WRONG_UPSTREAM_SECONDS)
+        logs.info(
+            'another upstream responded at its address',
+            upstream=name,
+            seconds=WRONG_UPSTREAM_SECONDS,
+        )
 
     def record_crash(self, name: UpstreamName) -> None:
-        """Note that an upstream refused a connection after a broken response."""
+        """Record that an upstream refused a connection after a broken response."""
         self._eject(name, CRASHED_SECONDS)
         logs.info('upstream crashed', upstream=name, seconds=CRASHED_SECONDS)
 
     def measure_slowness(self, name: UpstreamName, ratio: float) -> None:
-        """Note how long a first token took against what was expected."""
+        """Record the ratio of actual to expected time to the first token."""
         known = self.record(name)
         known.slowness += SMOOTHING * (ratio - known.slowness)
 
@@ -110,7 +136,7 @@
             self.ejected_names.discard(name)
 
     def slowness(self, name: UpstreamName) -> float:
-        """Return how much slower than expected an upstream was of late."""
+        """Return the recent ratio of actual to expected time to the first token."""
         known = self.records.get(name)
         return 1 if known is None else known.slowness
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/open_work.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/open_work.py
@@ -1,4 +1,7 @@
-"""Open work at each upstream: this box's own, and what the others report."""
+"""Open requests and unread prompt tokens at each upstream.
+
+They add up what this process has in flight and what other boxes report.
+"""
 
 from hitchdeck_core.clock import Clock
 from hitchdeck_core.ids import UpstreamName
@@ -6,9 +9,16 @@
 
 
 class OpenWorkEntry:
-    """One request's entry in the books.
+    """One request in an ``OpenWorkTable``, from being sent until it ends.
 
-    ``tokens`` is what the engine must read before its first token.
+    Attributes
+    ----------
+    tokens
+        Prompt tokens that the engine must read before it generates.
+    expected
+        ``tokens`` and those ahead of them at the upstream when the entry was made.
+    reading
+        Whether the first token is still awaited.
     """
 
     def __init__(
@@ -25,13 +35,13 @@
         open_work.own.running[upstream] += 1
 
     def start(self) -> None:
-        """Note the first token: the prompt has been read."""
+        """Record the first token, by which the prompt has been read."""
         if self.reading:
             self.reading = False
             self.open_work.own.waiting[self.upstream] -= self.tokens
 
     def close(self) -> None:
-        """Note the end of the request."""
+        """Remove the request from the table; further calls have no effect."""
         self.start()
         if self.open:
             self.open = False
@@ -39,15 +49,15 @@
 
 
 class OpenWorkTable:
-    """Waiting tokens and running requests by upstream.
+    """Unread tokens and open requests by upstream.
 
     Attributes
     ----------
     own, others
-        What this process has open, and what the other boxes report.
-    alike
-        Boxes that are taken to have as much open as this one; 1 where the
-        others report.
+        What this process has in flight, and what the other boxes report.
+    assumed_boxes
+        Number of boxes, this one included, that are assumed to have the same load
+        as this one; 1 while the other boxes report theirs.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -57,17 +67,17 @@
         self.assumed_boxes = 1
 
     def waiting(self, name: UpstreamName) -> int:
-        """Return the tokens that wait to be read at an upstream."""
+        """Return the number of tokens still to be read at an upstream."""
         own = self.own.waiting.get(name, 0) * self.assumed_boxes
         return max(0, own + self.others.waiting.get(name, 0))
 
     def running(self, name: UpstreamName) -> int:
-        """Return the requests that are open at an upstream."""
+        """Return the number of open requests at an upstream."""
         own = self.own.running.get(name, 0) * self.assumed_boxes
         return max(0, own + self.others.running.get(name, 0))
 
     def keep(self, names: set[UpstreamName]) -> None:
-        """Drop all other upstreams at which nothing is open."""
+        """Drop every other upstream without open requests of this process."""
         for name in self.own.running.keys() - names:
             if not self.own.running[name]:
                 self.own.running.pop(name, None)
--- a/packages/edge/src/hitchdeck_edge/scheduling/placement.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/placement.py
@@ -1,10 +1,11 @@
 """Choosing an upstream for a request.
 
-Engines: the one that will make the first token soonest, counting what waits
-there, what of the prompt its cache lacks, and how slow it was of late.  A shared part
-that no engine is known to hold goes to one that a rendezvous hash names; others
-get it only if the wait there costs more than to read it once more.  Plain
-services: the fewest open, weighed by time and failures.
+Among engines the one with the lowest cost is chosen, in tokens to be read before the
+first output token: the queue, the part of the prompt that is not cached, and recent
+slowness.  A shared prompt part that no engine is known to have cached goes to an engine
+that a rendezvous hash selects; another one gets it only if queueing there costs more
+than to read the part again.  Among plain services the one with the fewest open requests
+is chosen, weighted by latency and failure rate.
 """
 
 import random
@@ -25,47 +26,52 @@
 from hitchdeck_edge.state.registry import Registry
 
 RUNNING_TOKENS = 40
-"""What one running request adds to the wait, as tokens to be read: each
-step of the engine takes a little longer."""
+"""Cost of one running request, in tokens to be read: it makes each step of the engine
+a little longer."""
 
 FULL_TOKENS = 20_000
-"""Added where all places are taken: about the time until one is free."""
+"""Cost, in tokens to be read, of an engine whose slots are all occupied: about the time
+until one becomes free."""
 
 REREAD_WEIGHT = 8
-"""How much reading a shared part once more weighs against waiting.  Beside
-the time it takes, it takes time from everybody else, and makes the engine give
-up other parts: at 4, 8 and 16 it cost 0.069, 0.062 and 0.059 of what was owed,
-and 0.754, 0.764 and 0.761 was earned (means of three busy plays in virtual time)."""
+"""Cost of each token of a shared part that is read again, relative to a token that
+waits.  Besides its own time, rereading delays all other requests and evicts other parts
+from the cache.  At 4, 8 and 16 it took 0.069, 0.062 and 0.059 of the owed work, and
+0.754, 0.764 and 0.761 was earned (means of three simulations under load, in virtual
+time)."""
 
 MAX_SLOWNESS = 4.0
-"""Cap on one measurement of slowness: a single late answer says little."""
+"""Upper bound of one slowness sample, so that a single late response has little
+effect."""
 
 NEAR_TOKENS = 250
-"""Taken off within the failure domain, however long the wait there.  Not more:
-accounts stick to domains, and a flood of one would fill its engines alone."""
+"""Cost reduction for engines in the failure domain of the request's box, whatever their
+queue.  A larger one would keep the flood of an account, whose requests mostly come
+through one domain, on the engines of that domain."""
 
 FAR_TOKENS_PER_BYTE = 0.7
-"""What a byte that crosses failure domains counts for, in tokens to be read."""
+"""Cost of a byte that crosses failure domains, in tokens to be read."""
 
 BYTES_PER_OUTPUT_TOKEN = 20
-"""Bytes of an answer for each token made, with its framing."""
+"""Response bytes for each output token, with framing."""
 
 NEAR_WAIT_FRACTION = 0.15
-"""Part of a request's goal: an engine nearby with a longer wait is preferred only by
-``NEAR_TOKENS``, so that a domain's flood spreads over all engines."""
+"""Fraction of a request's goal.  A nearby engine with a longer queue is preferred only
+by ``NEAR_TOKENS``, so that the flood of one domain spreads over all engines."""
 
 FAILURE_WEIGHT = 4.0
-"""How much a failing plain service counts as slower than it is."""
+"""Weight of the failure rate in the cost of a plain service."""
 
 FAR_FACTOR = 1.1
-"""How much slower a plain service in another domain counts: see NEAR_TOKENS."""
+"""Cost factor for a plain service in another failure domain; see ``NEAR_TOKENS``."""
 
 JITTER_FACTOR = 1.05
-"""Spreads the choice between equals, which all boxes would make alike."""
+"""Upper bound of a random cost factor, so that not all boxes choose the same one of
+several equal upstreams."""
 
 MIN_SERVICE_SECONDS = 0.005
-"""Floor of a plain service's measured time, so that a fast one is not taken
-for free."""
+"""Lower bound of a plain service's latency, so that a fast one does not cost
+nothing."""
 
 
 Areas = Mapping[str, str]
@@ -79,7 +85,7 @@
 
 
 class Placement:
-    """Chooses upstreams from everything that a box knows."""
+    """Chooses upstreams by everything that a process knows of them."""
 
     def __init__(
         self,
@@ -99,7 +105,7 @@
         self.speed = EngineSpeed()
 
     def choose(self, query: PlacementQuery) -> Choice | None:
-        """Return the best upstream that was not tried yet, if there is one."""
+        """Return the best upstream that was not tried yet, or ``None``."""
         candidates = self.candidates(query)
         if not candidates:
             return None
@@ -109,7 +115,7 @@
         return self._choose_engine(query, query.prompt, candidates)
 
     def eligible(self, query: PlacementQuery) -> list[Upstream]:
-        """Return the upstreams that were not tried and are not ruled out."""
+        """Return the serving upstreams that a request may use and has not tried."""
         serving = self.registry.serving(query.pool)
         if query.tried or query.avoid:
             passed_over = query.tried | query.avoid
@@ -119,7 +125,10 @@
         return serving
 
     def candidates(self, query: PlacementQuery) -> list[Upstream]:
-        """Return those that may get a request now, suspected ones only if need be."""
+        """Return the upstreams that may get a request now.
+
+        Ejected and unresponsive ones are included only if there are no others.
+        """
         serving = self.cold_budget.usable(self.eligible(query))
         if not self.mechanisms.ejection:
             return serving
@@ -130,7 +139,7 @@
         return trusted or serving
 
     def measure(self, entry: OpenWorkEntry, query: PlacementQuery) -> None:
-        """Learn from how long a first event took."""
+        """Update speed and slowness by the time until a request's first event."""
         seconds = self.open_work.now() - entry.opened
         speed = self.speed.read_rate(query.pool)
         self.speed.measure(query.pool, entry.expected, seconds)
@@ -139,14 +148,14 @@
         self.health.measure_slowness(entry.upstream, ratio)
 
     def measure_run(self, entry: OpenWorkEntry, query: PlacementQuery) -> None:
-        """Learn from how long a request held its place."""
+        """Update the slot occupancy by the duration of a request that has ended."""
         if not entry.reading:
             self.speed.measure_run(query.pool, self.open_work.now() - entry.opened)
 
     def forget_gone(self) -> None:
         """Drop what was learned of upstreams that are gone.
 
-        The registry keeps word of their end for longer: see there.
+        The registry keeps their records for ``GONE_RETENTION_SECONDS``.
         """
         self.registry.forget_ended()
         present = self.registry.records.keys() - self.registry.gone()
@@ -155,9 +164,9 @@
         self.health.keep(present)
 
     def soonest(self, query: PlacementQuery) -> Choice | None:
-        """Return the engine with a free place that makes the first token soonest.
+        """Return the engine with a free slot that makes the first token soonest.
 
-        It may have to read again what another one has cached.
+        Rereading what another engine has cached adds no cost here.
         """
         prompt = query.prompt
         if prompt is None:
@@ -196,7 +205,7 @@
         tokens: int,
     ) -> Choice:
         seconds = self._slowness(upstream) / self.speed.read_rate(query.pool)
-        # What waits to be read holds places too, so the waits do not add up.
+        # Requests that wait to be read occupy slots as well, so the two waits overlap.
         place = self._slot_wait_seconds(upstream.name, query)
         return Choice(
             upstream,
@@ -208,7 +217,7 @@
     def _nearby(
         self, candidates: list[Upstream], query: PlacementQuery
     ) -> list[Upstream]:
-        """Return the engines of the request's domain, all where it has none."""
+        """Return the engines in the request's domain, or all if there are none."""
         if not self.mechanisms.near_first:
             return candidates
         return [one for one in candidates if one.domain == query.domain] or candidates
@@ -219,10 +228,10 @@
         candidates: list[Upstream],
         least_unread: int,
     ) -> str:
-        """Return the engine that is taken to hold the shared part, if any is.
+        """Return the engine that is assumed to have cached the shared part.
 
-        All boxes name the same one.  Where an engine is known to hold the part,
-        no other is taken to.
+        It is the same one on all boxes.  Empty if some engine is known to have the
+        shared part, or if there is nothing to cache.
         """
         parts = prompt.parts
         if not parts or not self.mechanisms.prefix_memory:
@@ -253,7 +262,7 @@
         return cost, tokens, upstream
 
     def _near_tokens(self, query: PlacementQuery, prompt: Prompt, wait: int) -> float:
-        """Return what an engine nearby with some tokens before it has in its favour."""
+        """Return the cost reduction of a nearby engine with ``wait`` tokens queued."""
         limit = NEAR_WAIT_FRACTION * query.goal * self.speed.read_rate(query.pool)
         idle_part = max(0, 1 - wait / max(1, limit))
         crossing = (
@@ -262,16 +271,16 @@
         return NEAR_TOKENS + idle_part * FAR_TOKENS_PER_BYTE * crossing
 
     def _tokens_ahead(self, name: UpstreamName) -> int:
-        """Return what is before a new request at an engine, in tokens."""
+        """Return the work ahead of a new request at an engine, in tokens."""
         return self.open_work.waiting(name) + RUNNING_TOKENS * self.open_work.running(
             name
         )
 
     def _slot_wait_seconds(self, name: UpstreamName, query: PlacementQuery) -> float:
-        """Return the expected seconds until an engine has a place.
+        """Return the expected seconds until an engine has a free slot.
 
-        Its places become free one after the other over the time that a
-        request holds one.
+        Its slots are assumed to become free at even intervals over the mean duration
+        of a request.
         """
         ahead = self.open_work.running(name) - query.slots + 1
         if ahead <= 0 or not self.mechanisms.places:
@@ -279,7 +288,7 @@
         return ahead * self.speed.mean_run_seconds(query.pool) / query.slots
 
     def _unread_at(self, upstreams: list[Upstream], prompt: Prompt) -> list[int]:
-        """Return what of a prompt each engine must read, as far as known."""
+        """Return the tokens of a prompt that each engine must read, as far as known."""
         if not self.mechanisms.prefix_memory:
             return [prompt.tokens for _ in upstreams]
         return self.prefix_cache.uncached_at([one.name for one in upstreams], prompt)
--- a/packages/edge/src/hitchdeck_edge/scheduling/prefix_cache.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an upstream's engine probably has in its cache."""
+"""Estimate of which prompt prefixes each engine has in its cache."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -9,30 +9,30 @@
 from hitchdeck_edge.model.calls import Part, PartId, Prompt
 
 DEFAULT_CACHE_TOKENS = 400_000
-"""An engine's memory where no document states it: the size of today's."""
+"""Capacity of an engine's cache, in tokens, unless a document states it."""
 
 CACHE_TTL_SECONDS = 20.0
-"""What was not used for so long is not counted on: other boxes may have sent
-there what this one does not know of."""
+"""Time since its last use after which a part is not expected in the cache: requests
+of other boxes, which this one does not see, may have evicted it."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedPart:
-    """A part in an engine's memory: its tokens, and when it was last used."""
+    """A part that an engine has cached: its length in tokens, and its last use."""
 
     tokens: int
     used: float
 
 
 class EngineCacheModel:
-    """What one engine keeps: what was unused for the longest time yields."""
+    """Model of one engine's prefix cache, with LRU eviction."""
 
     def __init__(self) -> None:
         self.parts: OrderedDict[PartId, CachedPart] = OrderedDict()
         self.tokens = 0
 
     def touch(self, part: Part, now: float, capacity: int) -> None:
-        """Note the use of a part; ``capacity`` is the engine's memory in tokens."""
+        """Record the use of a part; ``capacity`` is the cache size in tokens."""
         known = self.parts.pop(part.part_id, None)
         if known is not None:
             self.tokens -= known.tokens
@@ -43,7 +43,10 @@
             self.tokens -= evicted.tokens
 
     def cached(self, prompt: Prompt, horizon: float) -> int:
-        """Return how many tokens of a prompt are kept from its start on."""
+        """Return the length in tokens of the cached prefix of a prompt.
+
+        Parts that were last used before ``horizon`` count as not cached.
+        """
         total = 0
         for part in prompt.parts:
             known = self.parts.get(part.part_id)
@@ -54,12 +57,12 @@
 
 
 class PrefixCacheModel:
-    """Parts that this box sent to each upstream, and when.
+    """Models of the prefix caches of all engines, from the prompts sent to each.
 
     Attributes
     ----------
     size
-        Memory of an engine, in tokens.
+        Capacity of an engine's cache, in tokens.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -68,11 +71,11 @@
         self.engines: dict[UpstreamName, EngineCacheModel] = {}
 
     def uncached(self, name: UpstreamName, prompt: Prompt) -> int:
-        """Return how many tokens of a prompt the engine must read."""
+        """Return the tokens of a prompt that an engine has not cached."""
         return self.uncached_at([name], prompt)[0]
 
     def uncached_at(self, names: Iterable[UpstreamName], prompt: Prompt) -> list[int]:
-        """Return how many tokens of a prompt each of some engines must read."""
+        """Return, for each engine, the tokens of a prompt that it has not cached."""
         horizon = self.now() - CACHE_TTL_SECONDS
         first = prompt.parts[0].part_id if prompt.parts else None
         unread: list[int] = []
@@ -85,12 +88,12 @@
         return unread
 
     def record_prompt(self, name: UpstreamName, prompt: Prompt) -> None:
-        """Note that a prompt is sent to an upstream, or has been read there."""
+        """Record that a prompt is sent to an engine, which will cache it."""
         engine = self.engines.setdefault(name, EngineCacheModel())
         for part in prompt.parts:
             engine.touch(part, self.now(), self.size)
 
     def keep(self, names: set[UpstreamName]) -> None:
-        """Drop what is known of all other upstreams."""
+        """Drop the models of all other upstreams."""
         for name in self.engines.keys() - names:
             self.engines.pop(name)
--- a/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/scheduler.py
@@ -1,10 +1,9 @@
-"""One view of a pool's engines for the whole fleet.
+"""Scheduler that places and admits requests, for a box or for the whole fleet.
 
-Boxes that choose by themselves know of each other's sends only some tenths of
-a second later, and send to the same engine meanwhile.  The scheduler sees
-every request before it is sent.  It keeps nothing that must survive: boxes
-name their open work when they come, and choose by themselves while none is in
-reach.
+Boxes that place requests locally hear of each other's requests some tenths of a second
+later, and choose the same engine meanwhile.  A scheduler for the whole fleet sees every
+request before it is sent.  It has no durable state: boxes report their open requests
+when they connect, and place requests locally while no scheduler is reachable.
 """
 
 import asyncio
@@ -26,17 +25,17 @@
 from hitchdeck_edge.state.registry import Registry
 
 CLEANUP_SECONDS = 2.0
-"""Between two looks for upstreams that ended: it only bounds memory."""
+"""Interval between removals of upstreams that are gone; only memory depends on it."""
 
 BoxTicket = tuple[str, int]
-"""A box, and its number for one of its requests."""
+"""A box, and its ticket for one of its requests."""
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """One request that is open at an engine.
+    """One request that is open at an upstream.
 
-    ``query`` is absent where nothing is to be learned of it.
+    ``query`` is ``None`` if the request is not used as a sample.
     """
 
     entry: OpenWorkEntry
@@ -44,7 +43,13 @@
 
 
 class Scheduler:
-    """Decides on requests, with everything that a process knows."""
+    """Decides where a request goes, or that it is refused.
+
+    Attributes
+    ----------
+    open
+        Open requests, by box and ticket.
+    """
 
     def __init__(
         self,
@@ -69,7 +74,7 @@
         self.open: dict[BoxTicket, OpenRequest] = {}
 
     def decide(self, query: PlacementQuery) -> Choice | Refusal:
-        """Choose an engine, or say why the request is refused."""
+        """Return the chosen upstream, or the reason for refusing the request."""
         share_used = self._count_asked(query)
         choice = self.placement.choose(query)
         if choice is None:
@@ -84,7 +89,7 @@
         return self._refuse(query, refusal, share_used, choice.queue)
 
     def place(self, key: BoxTicket, query: PlacementQuery) -> Choice | Refusal:
-        """Decide, and enter the request in the books."""
+        """Decide on a request, and if it is accepted count it as open."""
         decision = self.decide(query)
         if isinstance(decision, Choice):
             self.add_open(key, decision.upstream.name, decision.tokens, query)
@@ -101,13 +106,25 @@
         unread: int,
         query: PlacementQuery | None = None,
     ) -> None:
-        """Enter a request that is open at an engine."""
+        """Count a request as open at an upstream.
+
+        Parameters
+        ----------
+        unread
+            Prompt tokens that the engine has not read yet.
+        """
         self.end(key)
         entry = OpenWorkEntry(self.placement.open_work, upstream, unread)
         self.open[key] = OpenRequest(entry, query)
 
     def start(self, key: BoxTicket, *, learn: bool = True) -> None:
-        """Note the first event of a request; ``learn`` of its engine by it."""
+        """Record the first event of a request.
+
+        Parameters
+        ----------
+        learn
+            Whether its time, and later the request's duration, are used as samples.
+        """
         known = self.open.get(key)
         if known is None or not known.entry.reading:
             return
@@ -118,7 +135,7 @@
             self.placement.measure(known.entry, known.query)
 
     def end(self, key: BoxTicket) -> None:
-        """Note the end of a request."""
+        """Remove a request that has ended from the open ones."""
         known = self.open.pop(key, None)
         if known is None:
             return
@@ -127,13 +144,13 @@
         known.entry.close()
 
     def drop_box(self, box: str) -> None:
-        """Forget what a box has open: it names it to whoever comes next."""
+        """Drop the open requests of a box, which reports them to the next scheduler."""
         keys = [key for key in self.open if key[0] == box]
         for key in keys:
             self.end(key)
 
     async def run(self) -> None:
-        """Forget upstreams that ended; for ever."""
+        """Drop the state of upstreams that are gone, at intervals, until cancelled."""
         while True:
             self.placement.forget_gone()
             await asyncio.sleep(CLEANUP_SECONDS)
@@ -147,11 +164,12 @@
         choice: Choice,
         share_used: float,
     ) -> Choice | None:
-        """Return where a request may go within its time, if anywhere.
+        """Return a choice by which a request starts in time, or ``None``.
 
-        The cheapest engine may be one with a long wait, for being nearby or for what
-        it has cached.  Rather than refuse a request, it goes to another domain; within
-        its share, another engine reads again what is cached.
+        The engine with the lowest cost may have a long queue, if it is nearby or has
+        the prompt cached.  Before the request is refused, the best engine of another
+        domain is tried; and if the account is within its share, the one that makes the
+        first token soonest, although it must read again what another has cached.
         """
         if query.resumes or self._starts_in_time(query, choice, share_used):
             return choice
@@ -168,7 +186,10 @@
         return soonest
 
     def _choose_far(self, query: PlacementQuery, choice: Choice) -> Choice | None:
-        """Return the best engine of another domain, if only nearness ruled it out."""
+        """Return the choice without the preference for the box's own domain.
+
+        ``None`` if it is in the same domain as ``choice``.
+        """
         far = self.placement.choose(replace(query, domain=''))
         if far is None or far.upstream.domain == choice.upstream.domain:
             return None
@@ -204,7 +225,7 @@
         return refusal
 
     def _count_asked(self, query: PlacementQuery) -> float:
-        """Count a request; return what its account has had of its share."""
+        """Count a request; return the fraction of its share that its account used."""
         document = self.documents.document
         if document is None or query.account is None or query.prompt is None:
             return 0
@@ -223,7 +244,7 @@
     documents: Documents,
     registry: Registry,
 ) -> Scheduler:
-    """Return a process's scheduler, which knows of no request yet."""
+    """Return the scheduler of a process, without any open requests."""
     shares = Shares(settings.share_window, boot_seconds)
     return Scheduler(
         documents,
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -1,10 +1,10 @@
-"""Max-min shares of the engines' capacity between client accounts.
+"""Max-min fair shares of the engines' capacity between client accounts.
 
-Every box knows what all boxes were asked for in the last window.  While that
-is more than the engines give, accounts that ask for more than the even level
-are owed that level, and the others what they ask for.  What an account got of
-the level bears on how long its requests may wait for an engine; one that got
-more than it is owed still gets what the engines have room for.
+Every box knows the demand at all boxes in the last window.  While it exceeds the
+capacity of the engines, accounts that demand more than the fair share level are owed
+that level, and the others what they demand.  What an account was granted, relative to
+the level, limits how long its requests may queue.  An account beyond its share
+still gets capacity that would otherwise be idle.
 """
 
 from collections import Counter, deque
@@ -18,18 +18,18 @@
 from hitchdeck_edge.state.tallies import Tally
 
 OUTPUT_TOKEN_WEIGHT = 2
-"""A token made counts as so many read: what the capacity is stated in."""
+"""Size of an output token in the unit of the stated capacity, input tokens."""
 
 MIN_SPAN_SECONDS = 1.0
-"""Seconds of capacity that are shared at least.  Requests that begin to come
-find empty engines, but who comes first must not take a whole window's."""
+"""Shortest time whose capacity is shared.  After an idle period the engines are empty,
+but the first account to send requests must not get the capacity of a whole window."""
 
 
 def fair_share_level(asked: Mapping[AccountName, float], capacity: float) -> float:
-    """Return the most that an account gets when all share a capacity.
+    """Return the max-min fair share of a capacity: the most that an account gets.
 
-    Accounts that ask for less get what they ask for, and the rest is shared
-    evenly by the others; infinity if all can be served.
+    Accounts that ask for less get what they ask for, and the others share the rest
+    evenly.  Infinity if the capacity suffices for all.
     """
     left = capacity
     waiting = sorted(amount for amount in asked.values() if amount > 0)
@@ -42,7 +42,7 @@
 
 
 class WindowCount:
-    """Tokens by account over a sliding window."""
+    """Tokens by account over a sliding window, in seconds."""
 
     def __init__(self, window: float, now: Clock) -> None:
         self.window = window
@@ -52,14 +52,14 @@
         self.total = 0
 
     def add(self, account: AccountName, tokens: int) -> None:
-        """Count tokens now."""
+        """Count tokens at the present time."""
         self.recent.append((self.now(), account, tokens))
         self.tokens[account] += tokens
         self.total += tokens
         self.expire()
 
     def expire(self) -> None:
-        """Take what is older than the window off the count."""
+        """Subtract what is older than the window."""
         horizon = self.now() - self.window
         while self.recent and self.recent[0][0] < horizon:
             _, account, tokens = self.recent.popleft()
@@ -68,23 +68,23 @@
 
 
 class Shares:
-    """Tells how much of its share each account has had.
+    """Demand and grants of each account, relative to its fair share.
 
     Attributes
     ----------
     capacity
-        What the engines are stated to give, in tokens a second; 0 if unknown.
+        Stated capacity of all engines, in tokens per second; 0 if unknown.
     asked, granted
-        What this process was asked for, and what it let through.
-    recalled
-        What of ``asked`` was decided elsewhere, so that nothing is known of it.
+        Tokens demanded from this process, and tokens that it granted.
+    elsewhere
+        Part of ``asked`` that other processes decided on, with unknown result.
     others
-        What the other boxes were asked for; empty where one process decides.
-    alike
-        Boxes that are taken to be asked for as much as this one; 1 where the
-        others report, or where one process decides.
-    began
-        When the present span of requests began, after none for a window.
+        Demand at the other boxes; empty if one process decides for all.
+    assumed_boxes
+        Number of boxes, this one included, that are assumed to have the same demand;
+        1 if the others report theirs, or if one process decides for all.
+    span_start
+        Time of the first demand after a window without any.
     """
 
     def __init__(self, window: float, now: Clock) -> None:
@@ -99,30 +99,30 @@
         self.span_start = now()
 
     def ask(self, query: PlacementQuery) -> None:
-        """Count a request."""
+        """Count the demand of a request."""
         self._note_span()
         _count(self.asked, query)
 
     def grant(self, query: PlacementQuery) -> None:
-        """Count a request that is let through."""
+        """Count a request that is granted."""
         _count(self.granted, query)
 
     def count_elsewhere(self, account: AccountName, tokens: int) -> None:
-        """Count what was asked for elsewhere, as if it were asked now.
+        """Count demand that another process decided on, as if it arrived now.
 
-        A scheduler that has just taken over would otherwise grant a whole
-        window of what it knows nothing of.
+        A scheduler that has just taken over would otherwise grant the capacity of a
+        whole window again.
         """
         self._note_span()
         self.asked.add(account, tokens)
         self.elsewhere.add(account, tokens)
 
     def share_used(self, account: AccountName) -> float:
-        """Return what an account got, as a part of the even level.
+        """Return what an account was granted, as a fraction of the fair share level.
 
-        Above 1 it has had more than its share; while all can be served it is
-        0 for everybody.  Where other boxes decide too, this one is to give its
-        part of the level: what it is asked for of all that is asked.
+        Above 1 it had more than its share; 0 for all accounts while the capacity
+        suffices for all.  If other boxes decide too, this box is responsible
+        for a part of the level, in proportion to its part of the account's demand.
         """
         if not self.capacity:
             return 0
@@ -137,7 +137,7 @@
         return self.granted.tokens[account] / max(1, level * own_part)
 
     def demands(self) -> list[Demand]:
-        """Return what this process was asked for in the window, as messages."""
+        """Return the demand at this process in the window, as messages."""
         self.asked.expire()
         return Tally(asked=self.asked.tokens).demands()
 
@@ -155,17 +155,18 @@
             self.span_start = self.now()
 
     def _window_capacity(self, asked: float) -> float:
-        """Return what the engines give in a window, in tokens.
+        """Return the capacity of the engines in a window, in tokens.
 
-        Right after a start it is what they gave since then.  Engines that have
-        crashed or are slow give less than is stated: where nobody reached a
-        level by what is stated, an account that asked for a tenth of what an
-        engine reads got 0.075 of that beside three that asked for more.
+        At the start of a span it is the capacity since then.  Engines that crashed or
+        are slow have less capacity than stated, so it is also bounded by what was
+        granted.  With the stated capacity alone no account reached the level, and one
+        that demanded a tenth of an engine's rate got 0.075 of it beside three
+        that demanded more.
 
         Parameters
         ----------
         asked
-            Tokens that were asked for in the window, of all boxes.
+            Tokens that were demanded in the window from all boxes.
         """
         span = max(MIN_SPAN_SECONDS, self.now() - self.span_start)
         stated = self.capacity * min(self.window, span)
@@ -174,9 +175,9 @@
 
 
 def _count(count: WindowCount, query: PlacementQuery) -> None:
-    """Count a generation; what has no account or no prompt has no share.
+    """Count a generation; requests without an account or a prompt have no share.
 
-    An attempt after one that failed belongs to a request that was counted.
+    Retries are skipped, as the first attempt was counted.
     """
     if query.tried:
         return
@@ -185,5 +186,5 @@
 
 
 def weight_of(prompt: Prompt) -> int:
-    """Return a generation's size in the unit of the capacity."""
+    """Return the size of a generation in the unit of the capacity."""
     return prompt.tokens + OUTPUT_TOKEN_WEIGHT * prompt.expected_output_tokens
