--- a/packages/edge/src/hitchdeck_edge/state/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a process knows: documents, upstreams, loads."""
+"""State of the fleet as a process knows it: configuration, upstreams, load."""
--- a/packages/edge/src/hitchdeck_edge/state/cold.py
+++ b/packages/edge/src/hitchdeck_edge/state/cold.py
@@ -1,8 +1,8 @@
 """Which upstreams are cold, and for how much longer.
 
-A cold upstream bears only a few requests a second for some time after its start.  Each
-report says how long that will last; the report with the highest sequence counts, so
-what is relayed between processes never circulates.
+A cold upstream handles only a few requests per second for some time after its start.
+Each of its reports states the time left.  The report with the highest sequence wins, so
+relayed reports never circulate between processes.
 """
 
 import math
@@ -12,15 +12,15 @@
 from hitchdeck_core.ids import UpstreamName
 
 MIN_CHANGE_SECONDS = 0.3
-"""Smaller differences come from delays of reports and are not passed on."""
+"""Smaller changes are caused by the delay of reports and are not propagated."""
 
 MAX_COLD_SECONDS = 120.0
-"""Cap on what an upstream reports: it must not go unused for good."""
+"""Upper bound of a reported time, so that no upstream goes unused for ever."""
 
 
 @dataclass(slots=True)
 class ColdSpell:
-    """End of an upstream's cold time on the local clock, by report and by inference."""
+    """End of an upstream's cold time on the local clock, as reported and as assumed."""
 
     sequence: int = -1
     reported: float = -math.inf
@@ -28,14 +28,18 @@
 
     @property
     def until(self) -> float:
-        """Return when the upstream is warm, as far as known."""
+        """Return when the upstream will be warm, on the local clock."""
         return max(self.reported, self.assumed)
 
 
 class ColdUpstreams:
     """Cold times by upstream.
 
-    ``latest`` is when the last of them ends, so that the usual case costs one look.
+    Attributes
+    ----------
+    latest
+        End of the last cold time.  While no upstream is cold, the usual case, one
+        comparison with it suffices.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -44,14 +48,14 @@
         self.latest = -math.inf
 
     def report(self, name: UpstreamName, sequence: int, left: float) -> bool:
-        """Take a report; tell whether it says something new.
+        """Apply a report; tell whether it changes the cold time.
 
         Parameters
         ----------
         sequence
-            Number of the report, which grows with every report of an incarnation.
+            Number of the report; it grows with every report of an incarnation.
         left
-            Seconds that the upstream will remain cold.
+            Seconds for which the upstream will remain cold.
         """
         spell = self.spells.setdefault(name, ColdSpell())
         if sequence <= spell.sequence:
@@ -70,12 +74,12 @@
         self.latest = max(self.latest, spell.assumed)
 
     def seconds_left(self, name: UpstreamName) -> float:
-        """Return how much longer an upstream is cold, 0 if it is not."""
+        """Return the seconds for which an upstream remains cold, 0 if it is warm."""
         spell = self.spells.get(name)
         return 0 if spell is None else max(0, spell.until - self.now())
 
     def cold_now(self) -> frozenset[UpstreamName]:
-        """Return the upstreams that are cold."""
+        """Return the upstreams that are cold at present."""
         now = self.now()
         if now >= self.latest:
             return frozenset()
@@ -84,5 +88,5 @@
         )
 
     def forget(self, name: UpstreamName) -> None:
-        """Drop what is known of an upstream."""
+        """Drop the cold time of an upstream."""
         self.spells.pop(name, None)
--- a/packages/edge/src/hitchdeck_edge/state/documents.py
+++ b/packages/edge/src/hitchdeck_edge/state/documents.py
@@ -1,4 +1,4 @@
-"""The newest document that a process knows to be accepted."""
+"""The newest accepted configuration document that a process knows."""
 
 import zlib
 from collections.abc import Callable
@@ -14,14 +14,16 @@
 
 
 class Documents:
-    """Keeps the newest accepted document; it never goes back.
+    """Holds the newest accepted document; it never reverts to an earlier version.
 
     Attributes
     ----------
     packed
-        The operator's text, compressed, as it is passed on.
+        The operator's text, compressed with zlib, as it is stored and sent.
+    table
+        Routing table of the document in force.
     changed
-        Notified with each newer document.
+        Notified of each newer document.
     """
 
     def __init__(self, read: ReadDocument, changed: Signal) -> None:
@@ -33,14 +35,14 @@
         self.changed = changed
 
     def offer(self, version: DocumentVersion, packed: bytes, origin: str) -> None:
-        """Take an accepted document if it is newer than the one in force."""
+        """Put an accepted document in force if it is newer than the present one."""
         if version <= self.version:
             return
         try:
             document = self.read(zlib.decompress(packed))
         except (DocumentError, zlib.error) as error:
-            # Every door checks before it accepts, so this is a fault of ours.
-            logs.failure('accepted document unreadable', error, version=version)
+            # Documents are validated before they are accepted, so this is a bug.
+            logs.failure('cannot decode an accepted document', error, version=version)
             return
         self.version = version
         self.packed = packed
@@ -57,5 +59,5 @@
         self.changed.notify()
 
     def message(self) -> DocumentMessage:
-        """Return the document in force as it is kept and sent."""
+        """Return the document in force as a message, as it is stored and sent."""
         return DocumentMessage(version=self.version, body=self.packed)
--- a/packages/edge/src/hitchdeck_edge/state/evacuations.py
+++ b/packages/edge/src/hitchdeck_edge/state/evacuations.py
@@ -1,4 +1,4 @@
-"""The failure domains that a process knows to be evacuated."""
+"""Evacuation orders for failure domains that a process knows."""
 
 from collections.abc import Callable
 
@@ -19,16 +19,18 @@
 
 
 class Evacuations:
-    """Keeps the newest committed orders; they never revert to an earlier edition.
+    """Holds the newest committed orders; they never revert to an earlier edition.
 
     Attributes
     ----------
     edition
-        Number of orders that took effect; the same everywhere.
+        Number of orders that took effect; the same at every process.
+    orders
+        The last order on each failure domain.
     apply
-        Gets the evacuated domains whenever they may have changed.
+        Called with the evacuated domains whenever they may have changed.
     changed
-        Notified with each newer edition.
+        Notified of each newer edition.
     """
 
     def __init__(self, apply: ApplyDomains, changed: Signal) -> None:
@@ -38,7 +40,7 @@
         self.changed = changed
 
     def offer(self, message: EvacuationList, origin: str) -> None:
-        """Take committed orders if they are newer than those in force."""
+        """Put committed orders in force if they are newer than the present ones."""
         if message.edition <= self.edition:
             return
         self.edition = int(message.edition)
@@ -54,15 +56,15 @@
         self.changed.notify()
 
     def message(self) -> EvacuationList:
-        """Return the orders in force as they are kept and sent."""
+        """Return the orders in force as a message, as they are stored and sent."""
         return encode_orders(self.edition, self.orders)
 
 
 def domain_closer(registry: Registry, documents: Documents) -> ApplyDomains:
-    """Return what closes domains in a registry.
+    """Return a function that closes evacuated domains in a registry.
 
-    Upstreams of a domain that is reopened may have turned cold meanwhile, and their
-    latest reports may be from before.
+    It treats the upstreams of a reopened domain as cold: they may have become cold
+    meanwhile, and their latest reports may be from before the evacuation.
     """
 
     def close(domains: frozenset[str]) -> None:
--- a/packages/edge/src/hitchdeck_edge/state/fleet_state.py
+++ b/packages/edge/src/hitchdeck_edge/state/fleet_state.py
@@ -1,4 +1,4 @@
-"""Everything that an entry box knows of the fleet."""
+"""State of the fleet that an entry box holds."""
 
 from dataclasses import dataclass
 
@@ -16,10 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """Configuration, upstreams, open work, and the box's own scheduler.
-
-    ``quarantine`` tells which requests may reach no upstream, and why, and
-    ``evacuations`` which failure domains get no new work.
+    """State of the fleet, and the box's own scheduler, as one object.
+
+    Attributes
+    ----------
+    documents
+        The configuration in force.
+    registry
+        All known upstreams.
+    open_work
+        Open requests by upstream.
+    quarantine
+        Requests that must not be sent to any upstream.
+    evacuations
+        Failure domains that get no new work.
     """
 
     documents: Documents
@@ -31,7 +41,7 @@
 
 
 def new_fleet_state(settings: EntrySettings, adapter: PlatformAdapter) -> FleetState:
-    """Return what an entry box knows when it starts: nothing of the fleet yet."""
+    """Return the state of an entry box at its start, without any configuration."""
     news = Signal()
     documents = Documents(adapter.read_document, news)
     registry = Registry(boot_seconds, news, hears_reports=False)
--- a/packages/edge/src/hitchdeck_edge/state/registry.py
+++ b/packages/edge/src/hitchdeck_edge/state/registry.py
@@ -1,10 +1,10 @@
-"""Upstreams as they reported themselves, merged from every source.
+"""Registry of upstreams, merged from their reports over every path.
 
-Soft state: it needs no quorum.  The newer record of an incarnation wins, a suspected
-crash is merged by the report that clears it, and a later incarnation of an instance
-ends the earlier ones.  Each is a maximum, so any order of arrival over any path ends in
-the same state after a bounded number of records, and each box keeps what it last knew
-while no hub can be reached.
+It is soft state and needs no quorum.  The newer record of an incarnation wins,
+suspicions of a crash are merged by the sequence of the report that clears them, and a
+later incarnation of an instance ends the earlier ones.  Each of these merges is a
+maximum, so records converge to the same state in any order, and each box keeps its
+last state while no hub is reachable.
 """
 
 from collections.abc import Iterable
@@ -19,8 +19,8 @@
 from hitchdeck_edge.state.cold import ColdUpstreams
 
 GONE_RETENTION_SECONDS = 120.0
-"""How long the end of an upstream is remembered: far longer than a late
-report or a cut link may delay word of it; bounds the memory."""
+"""Time for which the record of a gone upstream is kept.  It is far longer than a report
+can be delayed by a lost link; records are dropped after it to bound memory."""
 
 _NO_NAME = UpstreamName('')
 
@@ -31,24 +31,28 @@
     Attributes
     ----------
     changes
-        Number of the last change; ``change_numbers`` tells each record's.
-    heard
-        When each upstream was last heard of, on the given clock, seconds.
-    stored
-        When each record last changed, likewise.
+        Number of the last change.
+    change_numbers
+        Number of the last change of each record.
+    last_heard
+        Time of the last report of each upstream, in seconds of the given clock.
+    changed_at
+        Time of the last change of each record, likewise.
     holders
         The upstream that reported each address last.
-    newest
-        The latest life known of each instance, also when it has ended.
+    latest
+        The latest known incarnation of each instance, gone or not.
     superseded
-        Lives that ended since a later one of their instance is known.
+        Incarnations that were replaced by a later one of their instance.
     cold
         Which upstreams are cold.
     closed_domains
         Failure domains whose upstreams get no new work.
+    serving_cache, serving_cached_at
+        Results of ``serving``, and the number of the change that they are based on.
     hears_reports
         Whether upstreams report to this process.  Only such a process suspects the
-        earlier holder of an address: nobody would clear the suspicion of another.
+        earlier holder of an address, since only reports clear a suspicion.
     """
 
     def __init__(
@@ -71,7 +75,7 @@
         self.closed_domains: frozenset[str] = frozenset()
 
     def merge(self, record: Upstream, origin: str) -> bool:
-        """Take a record if it is newer; tell whether anything changed."""
+        """Merge a record; tell whether it changed anything."""
         if self._is_of_earlier_incarnation(record):
             return False
         known = self.records.get(record.name)
@@ -81,10 +85,10 @@
         if known is not None:
             record = _merge_records(record, known)
             if record.sequence > known.sequence:
-                # Somebody has heard of it since.
+                # Another process received a later report.
                 self.last_heard[record.name] = self.now()
             if not cold_changed and not _differs(record, known):
-                # A report that says nothing new is not passed on.
+                # Store the sequence, but do not propagate a report without changes.
                 self.records[record.name] = record
                 return False
         self._store(record)
@@ -106,15 +110,22 @@
         return True
 
     def hear(self, name: UpstreamName) -> None:
-        """Note that an upstream was heard of now; its reports clear suspicions."""
+        """Record that a report of an upstream arrived just now."""
         self.last_heard[name] = self.now()
 
     def end(self, instance: InstanceName, origin: str, born: int = 0) -> None:
-        """Note that a life ended, known or not; the latest where none is named."""
+        """Record that an incarnation is gone, known or not.
+
+        Parameters
+        ----------
+        born
+            Which incarnation of the instance; 0 for the latest known one.
+        """
         named = incarnation_name(instance, born)
         known = self.latest_incarnation(instance)
         if known is None or (born and known.name != named):
-            # An earlier life than the latest one is not taken; it has ended.
+            # ``merge`` ignores the record of an incarnation before the latest one,
+            # which counts as gone already.
             known = Upstream(
                 named,
                 PoolName(''),
@@ -129,7 +140,7 @@
         self.merge(replace(known, phase=Phase.gone), origin)
 
     def latest_incarnation(self, instance: InstanceName) -> Upstream | None:
-        """Return the latest life known of an instance, ended or not."""
+        """Return the latest known incarnation of an instance, gone or not."""
         return self.records.get(self.latest.get(instance, _NO_NAME))
 
     def since(self, number: int) -> list[Upstream]:
@@ -141,9 +152,10 @@
         ]
 
     def serving(self, pool: PoolName) -> list[Upstream]:
-        """Return the upstreams of a pool that may get new work, not to be changed.
+        """Return the upstreams of a pool that may get new work.
 
-        Kept until something changes: every request asks.
+        The list is cached until the next change, as every request needs it; callers
+        must not modify it.
         """
         if self.serving_cached_at != self.changes:
             self.serving_cache = {}
@@ -164,11 +176,12 @@
         return open_domain and record.phase is Phase.serving
 
     def close_domains(self, domains: frozenset[str]) -> list[Upstream]:
-        """Send no new work to some failure domains.
+        """Stop new work to the given failure domains, and only to these.
 
         Returns
         -------
-        The upstreams of domains that were closed before and are open now.
+        list of Upstream
+            The upstreams of domains that were closed before and are open now.
         """
         reopened = self.closed_domains - domains
         self.closed_domains = domains
@@ -176,7 +189,7 @@
         return [one for one in self.records.values() if one.domain in reopened]
 
     def mark_unresponsive(self, limit: float) -> None:
-        """Mark upstreams that nobody heard of for ``limit`` seconds."""
+        """Suspect upstreams of which no report arrived for ``limit`` seconds."""
         horizon = self.now() - limit
         for name, record in list(self.records.items()):
             last = self.last_heard.setdefault(name, self.now())
@@ -189,13 +202,13 @@
                 self._raise_suspicion(record)
 
     def suspect(self, incarnation: LifeId) -> None:
-        """Suspect that an incarnation has crashed, until its next report."""
+        """Suspect that an incarnation has crashed; its next report clears this."""
         record = self.records.get(UpstreamName(incarnation))
         if record is not None:
             self._raise_suspicion(record)
 
     def suspicions_since(self, number: int) -> list[Suspicion]:
-        """Return the suspected crashes that changed after a change number."""
+        """Return the suspected crashes in records changed after a change number."""
         return [
             Suspicion(record.name, record.cleared_by)
             for record in self.since(number)
@@ -203,9 +216,10 @@
         ]
 
     def merge_suspicion(self, suspicion: Suspicion) -> None:
-        """Take a suspicion that another process has of an upstream.
+        """Merge a suspicion that another process raised.
 
-        Where a later report is known, the record that clears it is passed on.
+        If a later report is known already, the suspicion counts as cleared; the record
+        is propagated all the same and clears it at the other process.
         """
         record = self.records.get(suspicion.upstream)
         if record is None or record.phase is Phase.gone:
@@ -214,13 +228,13 @@
             self._store(replace(record, cleared_by=suspicion.cleared_by))
 
     def gone(self) -> set[UpstreamName]:
-        """Return the upstreams whose end is known."""
+        """Return the upstreams that are known to be gone."""
         return {
             name for name, record in self.records.items() if record.phase is Phase.gone
         }
 
     def replaced(self) -> list[tuple[Upstream, Upstream]]:
-        """Return lives that a later one has replaced, each with the latest."""
+        """Return superseded incarnations, each with the latest one of its instance."""
         earlier = [self.records[name] for name in self.superseded]
         latest = [self.latest_incarnation(one.instance_key) for one in earlier]
         return [
@@ -230,7 +244,7 @@
         ]
 
     def forget_ended(self) -> None:
-        """Forget upstreams that have been gone or silent for long."""
+        """Drop upstreams gone or unresponsive for ``GONE_RETENTION_SECONDS``."""
         horizon = self.now() - GONE_RETENTION_SECONDS
         for name, record in list(self.records.items()):
             ended = record.phase is Phase.gone or record.unresponsive
@@ -238,7 +252,7 @@
                 self._forget(record)
 
     def names(self) -> Iterable[UpstreamName]:
-        """Return every name known, of ended ones too."""
+        """Return the names of all known upstreams, gone ones included."""
         return self.records.keys()
 
     def _store(self, record: Upstream) -> None:
@@ -254,7 +268,10 @@
         return latest is not None and record.incarnation_rank < latest.incarnation_rank
 
     def _end_earlier_incarnations(self, record: Upstream) -> None:
-        """End what this life replaces: it holds and knows nothing of before."""
+        """Mark the incarnation that this one replaces as gone.
+
+        The new one has none of its requests, and nothing in its cache.
+        """
         before = self.latest_incarnation(record.instance_key)
         self.latest[record.instance_key] = record.name
         if before is None or before.name == record.name:
@@ -265,10 +282,10 @@
             self._store(replace(before, phase=Phase.gone))
 
     def _suspect_holder(self, record: Upstream) -> None:
-        """Suspect the earlier upstream at an address that another one reports.
+        """Suspect the previous upstream at an address that another one reports.
 
-        The report may be a late one of an incarnation that has ended; then the
-        upstream that is suspected clears itself with its next report.
+        The report may be a delayed one of an incarnation that is gone; then the
+        next report of the suspected upstream clears the suspicion.
         """
         if record.phase is Phase.gone or not record.address:
             return
@@ -303,7 +320,7 @@
 
 
 def _merge_records(record: Upstream, known: Upstream) -> Upstream:
-    """Return what is known of one incarnation by two records."""
+    """Merge two records of one incarnation."""
     if record.rank == known.rank:
         newer = max(record, known, key=_tie_break)
     else:
@@ -313,12 +330,12 @@
 
 
 def _tie_break(record: Upstream) -> str:
-    """Return the same order everywhere for two records of one report."""
+    """Return a sort key, equal at every process, for two records of one report."""
     return str(replace(record, cleared_by=0, cold_left=0))
 
 
 def _differs(record: Upstream, known: Upstream) -> bool:
-    """Tell whether a record says more than that another report came."""
+    """Tell whether two records differ in more than the sequence of the report."""
     if record.unresponsive != known.unresponsive:
         return True
     return replace(record, sequence=known.sequence) != known
--- a/packages/edge/src/hitchdeck_edge/state/relief.py
+++ b/packages/edge/src/hitchdeck_edge/state/relief.py
@@ -1,4 +1,4 @@
-"""Boxes that take connections from one that is short of processor time."""
+"""Boxes to which a box that is short of processor time hands off connections."""
 
 import math
 import random
@@ -8,14 +8,22 @@
 from hitchdeck_core.ids import Address
 
 TARGETS_TTL_SECONDS = 2.5
-"""Time after which boxes that no hub names any more are not used."""
+"""Time for which boxes are used after a hub last listed them."""
 
 UNREACHABLE_SECONDS = 2.0
-"""Time for which a box is not used that could not be reached."""
+"""Time for which a box is not used after it could not be reached."""
 
 
 class ReliefTargets:
-    """The boxes that hubs have named of late."""
+    """The boxes that a hub listed last as targets for handed-off connections.
+
+    Attributes
+    ----------
+    named_at
+        Time of that list on the local clock.
+    unreachable_until
+        Boxes that are not used, with the time until which they are not.
+    """
 
     def __init__(self, now: Clock) -> None:
         self.now = now
@@ -24,14 +32,14 @@
         self.unreachable_until: dict[Address, float] = {}
 
     def offer(self, addresses: Iterable[str]) -> None:
-        """Take the boxes that a hub names; none changes nothing."""
+        """Replace the targets by those that a hub lists, unless the list is empty."""
         named = tuple(Address(one) for one in addresses)
         if named:
             self.addresses = named
             self.named_at = self.now()
 
     def choose(self) -> Address | None:
-        """Return a box at random, ``None`` where none is known."""
+        """Return a random usable box, or ``None`` if there is none."""
         now = self.now()
         if now - self.named_at > TARGETS_TTL_SECONDS:
             return None
@@ -41,7 +49,7 @@
         return random.choice(trusted) if trusted else None
 
     def mark_unreachable(self, address: Address) -> None:
-        """Use a box no more for a while."""
+        """Do not use a box for ``UNREACHABLE_SECONDS``."""
         now = self.now()
         kept = {
             one: until for one, until in self.unreachable_until.items() if until > now
--- a/packages/edge/src/hitchdeck_edge/state/routing.py
+++ b/packages/edge/src/hitchdeck_edge/state/routing.py
@@ -1,10 +1,10 @@
-"""Finding the route and the client account of a request."""
+"""Lookup of the route and the client account of a request."""
 
 from hitchdeck_edge.model.document import ClientAccount, Document, Route
 
 
 class RoutingTable:
-    """Routes by host and prefix, and accounts by key, of one document."""
+    """Routes of one document by host and prefix, and its accounts by key."""
 
     def __init__(self, document: Document | None = None) -> None:
         self.routes: dict[str, dict[str, Route]] = {}
@@ -17,13 +17,13 @@
             self.accounts.update((key, account) for key in account.keys)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, if any."""
+        """Return the route with the longest matching path prefix, or ``None``."""
         prefixes = self.routes.get(host)
         if prefixes is None:
             return None
         end = len(path)
         while end > 0:
-            # Every prefix ends with a slash, so only these can match.
+            # Every prefix ends with a slash, so no other cut of the path can match.
             end = path.rfind('/', 0, end) + 1
             found = prefixes.get(path[:end])
             if found is not None:
@@ -32,10 +32,10 @@
         return None
 
     def account(self, key: str) -> ClientAccount | None:
-        """Return the client account that holds a key, if any."""
+        """Return the client account that a key belongs to, or ``None``."""
         return self.accounts.get(key)
 
     def allowed_areas(self, host: str) -> frozenset[str]:
-        """Return the areas that are homes of some route of a host."""
+        """Return the areas that some route of a host is restricted to."""
         routes = self.routes.get(host, {}).values()
         return frozenset().union(*(route.allowed_areas for route in routes))
--- a/packages/edge/src/hitchdeck_edge/state/tallies.py
+++ b/packages/edge/src/hitchdeck_edge/state/tallies.py
@@ -1,4 +1,4 @@
-"""Load and demand as the boxes of a fleet report them."""
+"""Load of upstreams and demand of accounts, as boxes report them."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,26 +8,37 @@
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Demand, HubFrame, Load
 
 MAX_UINT32 = 4_294_967_295
-"""Largest number of a message's 32-bit field.  What callers say of their sizes adds up
-to more, and a frame that can't be written would end a box's stream."""
+"""Largest number that a message field of type ``uint32`` can hold.  Sizes that callers
+state may add up to more, and a frame that cannot be encoded would break the box's
+stream."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """Open work by upstream, and tokens asked for by account."""
+    """Load by upstream, and demand by account.
+
+    Attributes
+    ----------
+    waiting
+        Tokens to be read, by upstream.
+    running
+        Open requests, by upstream.
+    asked
+        Tokens demanded, by account.
+    """
 
     waiting: Counter[UpstreamName] = field(default_factory=Counter)
     running: Counter[UpstreamName] = field(default_factory=Counter)
     asked: Counter[AccountName] = field(default_factory=Counter)
 
     def add(self, other: 'Tally') -> None:
-        """Add another tally to this one."""
+        """Add another tally to this one, in place."""
         self.waiting.update(other.waiting)
         self.running.update(other.running)
         self.asked.update(other.asked)
 
     def without(self, other: 'Tally') -> 'Tally':
-        """Return this tally less another one."""
+        """Return the difference of this tally and another one."""
         rest = Tally(self.waiting.copy(), self.running.copy(), self.asked.copy())
         rest.waiting.subtract(other.waiting)
         rest.running.subtract(other.running)
@@ -35,7 +46,7 @@
         return rest
 
     def loads(self) -> list[Load]:
-        """Return the open work as messages, without idle upstreams."""
+        """Return the load as messages, without idle upstreams."""
         names = self.waiting.keys() | self.running.keys()
         return [
             Load(
@@ -48,7 +59,7 @@
         ]
 
     def demands(self) -> list[Demand]:
-        """Return the tokens asked for as messages."""
+        """Return the demand as messages."""
         return [
             Demand(account=name, tokens=_as_uint32(tokens))
             for name, tokens in self.asked.items()
@@ -57,7 +68,7 @@
 
 
 def tally_of(frame: BoxFrame | HubFrame) -> Tally:
-    """Return what a frame reports."""
+    """Return the load and demand that a frame reports."""
     tally = Tally()
     for load in frame.loads:
         tally.waiting[UpstreamName(load.upstream)] = int(load.waiting_tokens)
@@ -68,7 +79,7 @@
 
 
 def total_of(tallies: Iterable[Tally]) -> Tally:
-    """Return the sum of tallies."""
+    """Return the sum of several tallies."""
     total = Tally()
     for tally in tallies:
         total.add(tally)
