--- a/packages/edge/src/hitchdeck_edge/model/__init__.py
+++ b/packages/edge/src/hitchdeck_edge/model/__init__.py
@@ -1,1 +1,1 @@
-"""Types of configuration, requests and upstreams."""
+"""Types for configuration, requests, placement and upstreams."""
--- a/packages/edge/src/hitchdeck_edge/model/adapter.py
+++ b/packages/edge/src/hitchdeck_edge/model/adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter supplies: a platform's names and formats, as functions."""
+"""Interface of a platform adapter: a platform's names and formats, as functions."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -11,10 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Forwarding:
-    """What one attempt at an upstream adds to a caller's request.
-
-    ``seconds_left`` is how long the upstream may work on it, ``body_bytes``
-    the length of the body that goes with it.
+    """What an attempt adds to the headers of a caller's request.
+
+    Attributes
+    ----------
+    seconds_left
+        Time that the upstream has until the request's deadline.
+    last_event
+        Id of the last event that the caller received, if the stream is resumed.
+    body_bytes
+        Length of the request body.
     """
 
     upstream: Upstream
@@ -26,10 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformAdapter:
-    """Functions and names that speak a platform's wire forms.
-
-    ``read_call`` and ``read_document`` raise ``CallError`` and
-    ``DocumentError``; ``request_field`` names the header with a request's id.
+    """Functions that decode and encode a platform's formats.
+
+    Attributes
+    ----------
+    read_call
+        Decodes a request from its method, target and headers; raises ``CallError``.
+    forward_headers
+        Returns the headers of a request to an upstream.
+    read_answer
+        Decodes the marks in the status and headers of a response.
+    request_field
+        Name of the header with the id of a request.
+    read_document
+        Decodes a configuration document; raises ``DocumentError``.
     """
 
     read_call: Callable[[str, str, Iterable[tuple[str, str]]], Call]
--- a/packages/edge/src/hitchdeck_edge/model/calls.py
+++ b/packages/edge/src/hitchdeck_edge/model/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request, as the product sees it."""
+"""Decoded requests of callers, and decoded marks of upstream responses."""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -6,7 +6,7 @@
 from hitchdeck_core.ids import RequestId
 
 PartId = NewType('PartId', str)
-"""One part of a prompt; equal parts have equal ids."""
+"""Id of a part of a prompt; parts with equal content have equal ids."""
 
 Header = tuple[bytes, bytes]
 
@@ -21,11 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """Size of a generation, in tokens; ``parts`` in their order.
+    """Prompt of a generation, and its size in tokens.
 
-    All parts but the last may be shared with other requests.
-    ``expected_output_tokens`` is the caller's own estimate of what the engine will make
-    where it gives one, else the most that it allows.
+    Attributes
+    ----------
+    tokens
+        Length of the prompt.
+    expected_output_tokens
+        The caller's estimate of the output, or the most that it allows if it gives no
+        estimate.
+    parts
+        Parts in the order of the prompt.  All but the last may be shared with other
+        requests.
     """
 
     tokens: int
@@ -35,16 +42,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request of a caller.
+    """One request of a caller, decoded from its headers.
 
     Attributes
     ----------
+    key
+        API key; empty if there is none.
     timeout
-        Seconds that the caller waits, or ``None`` if it does not say.
+        Seconds that the caller waits for the response, or ``None`` if not stated.
     last_event
-        Id of the last event that the caller has of a broken stream.
+        Id of the last event that the caller received of an interrupted stream.
     headers
-        All headers as they came.
+        All headers as received.
     """
 
     request: RequestId
@@ -61,12 +70,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseMarks:
-    """What an upstream's answer says besides its content.
+    """Marks in the status and headers of an upstream's response.
 
-    ``sealed`` says that the upstream vouches for it as its own; ``not_run``
-    is its word that it did not run the request; ``other_incarnation`` that another
-    upstream has the address by now.  ``backoff`` is for how many seconds it wants
-    nothing from this box, 0 where it does not say; ``leaving`` that it leaves.
+    Attributes
+    ----------
+    request
+        Id of the request that it responds to; empty if not stated.
+    sealed
+        Whether the upstream marks the response as its own.
+    not_run
+        Whether the upstream states that it did not run the request.
+    other_incarnation
+        Whether another upstream has the address by now.
+    backoff
+        Seconds for which the upstream wants no requests from this box; 0 if not stated.
+    leaving
+        Whether the upstream is draining and will accept no further requests.
     """
 
     request: RequestId
--- a/packages/edge/src/hitchdeck_edge/model/document.py
+++ b/packages/edge/src/hitchdeck_edge/model/document.py
@@ -1,4 +1,4 @@
-"""A document of configuration: one whole, under one version."""
+"""Configuration document: the whole configuration, under one version."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,24 +8,24 @@
 from hitchdeck_edge.errors import DocumentError
 
 DocumentVersion = NewType('DocumentVersion', int)
-"""Version of a document; the highest that was accepted is in force."""
+"""Version of a document; the highest accepted one is in force."""
 
 RouteName = NewType('RouteName', str)
 
 
 class RepeatPolicy(Enum):
-    """What a route allows after a request may have run."""
+    """Whether a request may be retried after an upstream may have run it."""
 
     freely = 'freely'
-    """The request may run more than once."""
+    """The request is idempotent and may run more than once."""
 
     never = 'never'
-    """The request runs at most once for each id."""
+    """The request must run at most once for each request id."""
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A share of a route's requests."""
+    """A pool that gets a part of a route's requests, in proportion to its weight."""
 
     pool: PoolName
     weight: float
@@ -33,13 +33,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How requests for one host and path prefix are served; seconds.
-
-    ``time_limit`` is the longest a request may be held, ``goal`` the time in
-    which its answer is worth most, ``gap_goal`` the longest pause between two
-    events of a stream that is still on time.
-    ``allowed_areas`` are the areas in which its
-    requests may be served; everywhere if empty.
+    """How requests for one host and path prefix are served.
+
+    Attributes
+    ----------
+    streams
+        Whether responses are streams of events.
+    resumable
+        Whether an interrupted stream can be resumed at another upstream.
+    attempts
+        Most upstreams that one request is sent to.
+    time_limit
+        Seconds after which a request is ended at the latest.
+    goal
+        Seconds within which a response has its full value.
+    gap_goal
+        Longest time between two events of a stream that is on time, in seconds.
+    needs_key
+        Whether a request needs the key of a client account.
+    allowed_areas
+        Areas in which its requests may be served; no restriction if empty.
     """
 
     name: RouteName
@@ -60,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What a pool of model engines has: requests at once, memory in tokens."""
+    """Resources of each engine of a pool: concurrent requests, cache size in tokens."""
 
     slots: int
     memory_tokens: int
@@ -68,10 +81,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool of upstreams; ``engine`` is absent for plain services.
-
-    ``cold_seconds`` is how long its upstreams are cold after a start during traffic,
-    ``cold_rate`` how many requests a second each bears meanwhile (0: as many as ever).
+    """A pool of upstreams.
+
+    Attributes
+    ----------
+    connections
+        Connection limit that the document states.
+    engine
+        Resources of its model engines; ``None`` for plain services.
+    cold_seconds
+        Time for which an upstream is cold after a start during traffic.
+    cold_rate
+        Requests per second that a cold upstream can handle; 0 if there is no limit.
     """
 
     name: PoolName
@@ -83,10 +104,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what callers send; bytes and seconds.
+    """Limits on requests of callers, in bytes and seconds, and the stated capacity.
 
-    ``tokens_per_second`` is what all engines together may be taken to give,
-    a token read counted once and a token made twice; 0 where not said.
+    ``tokens_per_second`` is the capacity of all engines together, where input tokens
+    count once and output tokens twice; 0 if not stated.
     """
 
     header_bytes: int
@@ -98,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account, the keys that stand for it, and its homes; see ``Route``."""
+    """A client account, its API keys, and the areas that it is restricted to."""
 
     name: AccountName
     keys: tuple[str, ...]
@@ -118,21 +139,22 @@
 
 
 def cold_seconds(document: Document | None, pool: PoolName) -> float:
-    """Return how long upstreams of a pool are cold after a start, in seconds."""
+    """Return the seconds for which upstreams of a pool are cold after a start."""
     known = document.pools.get(pool) if document else None
     return known.cold_seconds if known else 0
 
 
 def cold_rate(document: Document | None, pool: PoolName) -> float:
-    """Return the requests a second that a cold upstream bears, 0 where not limited."""
+    """Return the requests per second for a cold upstream of a pool; 0 for no limit."""
     known = document.pools.get(pool) if document else None
     return known.cold_rate if known else 0
 
 
 def common_areas(route: Route, account: ClientAccount | None) -> frozenset[str] | None:
-    """Return the areas in which a request may be served; everywhere if empty.
+    """Return the areas in which a request may be served; no restriction if empty.
 
-    Where route and account both have homes, both bind; ``None`` if no area is left.
+    If both route and account are restricted, both restrictions apply; ``None`` if
+    they have no area in common.
     """
     if account is None or not account.allowed_areas:
         return route.allowed_areas
@@ -142,13 +164,13 @@
 
 
 def check_document(document: Document) -> None:
-    """Raise ``DocumentError`` unless the parts of a document fit together."""
+    """Raise ``DocumentError`` unless the parts of a document are consistent."""
     _check_routes(document)
     seen: set[str] = set()
     for account in document.accounts:
         for key in account.keys:
             if key in seen:
-                raise DocumentError(f'account {account.name}: a key stands twice')
+                raise DocumentError(f'account {account.name}: duplicate API key')
             seen.add(key)
 
 
@@ -157,7 +179,7 @@
     for route in document.routes:
         place = (route.host, route.prefix)
         if place in places:
-            raise DocumentError(f'route {route.name}: another has {place}')
+            raise DocumentError(f'route {route.name}: another route has {place}')
         places.add(place)
         _check_route(document, route)
 
@@ -165,12 +187,12 @@
 def _check_route(document: Document, route: Route) -> None:
     for target in route.targets:
         if target.pool not in document.pools:
-            raise DocumentError(f'route {route.name}: no pool {target.pool}')
+            raise DocumentError(f'route {route.name}: unknown pool {target.pool}')
         if target.weight < 0:
-            raise DocumentError(f'route {route.name}: a weight is negative')
+            raise DocumentError(f'route {route.name}: negative weight')
     if sum(target.weight for target in route.targets) <= 0:
-        raise DocumentError(f'route {route.name}: its weights add up to nothing')
+        raise DocumentError(f'route {route.name}: the weights add up to 0')
     if route.time_limit <= 0:
-        raise DocumentError(f'route {route.name}: its time limit is not positive')
+        raise DocumentError(f'route {route.name}: the time limit is not positive')
     if route.attempts < 1:
-        raise DocumentError(f'route {route.name}: it allows no attempt')
+        raise DocumentError(f'route {route.name}: less than one attempt')
--- a/packages/edge/src/hitchdeck_edge/model/evacuations.py
+++ b/packages/edge/src/hitchdeck_edge/model/evacuations.py
@@ -1,4 +1,4 @@
-"""Orders of operators that close a failure domain to new work, or reopen it."""
+"""Orders by which operators close a failure domain to new work, or reopen it."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainOrder:
-    """The last order on a failure domain, and the edition in which it took effect."""
+    """The last order for a failure domain, and the edition in which it took effect."""
 
     domain: str
     active: bool
@@ -16,7 +16,7 @@
 
 
 Orders = Mapping[str, DomainOrder]
-"""The last order on each failure domain that ever had one."""
+"""The last order for each failure domain, by domain."""
 
 
 def evacuated_domains(orders: Orders) -> frozenset[str]:
@@ -25,7 +25,7 @@
 
 
 def edition_of(orders: Orders, domain: str) -> int:
-    """Return the edition of the last order on a domain, 0 if there was none."""
+    """Return the edition of the last order for a domain, 0 if there was none."""
     known = orders.get(domain)
     return known.edition if known else 0
 
@@ -37,7 +37,7 @@
 
 
 def encode_orders(edition: int, orders: Orders) -> EvacuationList:
-    """Return the message for all orders under one edition."""
+    """Return the message with all orders as of an edition."""
     return EvacuationList(
         edition=edition,
         orders=[
@@ -48,7 +48,7 @@
 
 
 def decode_orders(messages: Iterable[Evacuation]) -> dict[str, DomainOrder]:
-    """Return the orders of messages by domain."""
+    """Decode orders from messages; return them by domain."""
     return {
         one.domain: DomainOrder(one.domain, one.active, int(one.edition))
         for one in messages
--- a/packages/edge/src/hitchdeck_edge/model/mechanisms.py
+++ b/packages/edge/src/hitchdeck_edge/model/mechanisms.py
@@ -1,4 +1,4 @@
-"""Which of the mechanisms that decide are at work."""
+"""Switches for the mechanisms of placement and admission."""
 
 from dataclasses import dataclass, fields
 
@@ -7,29 +7,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """The ``[mechanisms]`` table: each may be switched off to see its worth.
+    """The ``[mechanisms]`` table; each can be turned off to measure its effect.
 
     Attributes
     ----------
     scheduler
-        One hub places for all boxes; else each box places by itself.
+        One hub places requests for all boxes; otherwise each box places its own.
     shares
-        Requests of accounts beyond their share give way.
+        Accounts beyond their fair share get shorter queueing limits.
     yielding
-        They give way the sooner, the more an engine must read for them.
+        These limits are shorter for requests that cost an engine much work.
     prefix_memory
-        What engines have cached is remembered, and prompts go there.
+        Prompts are sent to engines that are expected to have their prefix cached.
     reading_again
-        To read a shared part once more weighs more than the time it takes.
+        Reading a shared prompt part again costs more than its time.
     another_engine
-        Requests go to another engine, of another domain or that reads again what is
-        cached, rather than be refused.
+        A request that would be refused is sent to an engine in another failure domain,
+        or to one that must read a cached part again.
     places
-        The expected wait counts the places that are taken.
+        The expected wait includes the time until an engine slot is free.
     slowness
-        Engines that answer late count as slower.
+        Engines with late first tokens cost more.
     ejection
-        Upstreams that fail are passed over for a while.
+        Failing upstreams are not used for some time.
     near_first
         Upstreams in the box's own failure domain are preferred.
     """
@@ -46,10 +46,10 @@
     near_first: bool = True
 
     def __post_init__(self) -> None:
-        """Refuse a mechanism that is neither on nor off."""
+        """Check that each switch is a boolean."""
         for one in fields(self):
             check_flag(getattr(self, one.name))
 
 
 ALL_MECHANISMS = Mechanisms()
-"""Every mechanism at work."""
+"""All mechanisms turned on."""
--- a/packages/edge/src/hitchdeck_edge/model/placing.py
+++ b/packages/edge/src/hitchdeck_edge/model/placing.py
@@ -1,4 +1,4 @@
-"""What is asked of a placement, and what it decides."""
+"""Placement queries and their results."""
 
 from dataclasses import dataclass
 
@@ -9,28 +9,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementQuery:
-    """A request that wants an upstream.
+    """Request for which an upstream is to be chosen.
 
     Attributes
     ----------
     request
-        The caller's id of it, for the log.
+        The caller's request id, for the log.
     domain
-        Failure domain of the box that will send it.
+        Failure domain of the box that will send the request.
     slots
-        Requests that an engine of the pool runs at once; 0 for plain services.
+        Concurrent requests per engine of the pool; 0 for plain services.
     goal
-        Seconds in which its first event is due.
+        Seconds within which the first event is due.
     tried
-        Upstreams that it was sent to, or that could not be reached.
+        Upstreams that the request was sent to, or that were unreachable.
     resumes
-        It has begun before, so its account's share does not matter.
+        Whether the request has started before; its account's share then does not
+        matter.
     avoid
-        Upstreams that want nothing from the box that will send it.
+        Upstreams that requested backoff from the box that will send the request.
     areas
-        Areas in which it may be served; everywhere if empty.
+        Areas in which the request may be served; no restriction if empty.
     body_bytes
-        Size of its body.
+        Size of the request body.
     """
 
     request: RequestId
@@ -49,12 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """An upstream, and what sending the request there means.
+    """The chosen upstream, and what the request is expected to cost there.
 
-    ``tokens`` must be read there; ``queue`` is the expected time until that
-    begins, and ``reading`` how long it will take, in seconds; all are 0 for
-    plain services.  ``ticket`` is the scheduler's number for the request, 0 if
-    this box chose by itself.
+    Attributes
+    ----------
+    tokens
+        Prompt tokens that the engine must read; 0 for plain services.
+    queue
+        Expected seconds until it begins to read; 0 for plain services.
+    ticket
+        The scheduler's number for the request; 0 if it was placed locally.
+    reading
+        Expected seconds that reading takes; 0 for plain services.
     """
 
     upstream: Upstream
--- a/packages/edge/src/hitchdeck_edge/model/refusals.py
+++ b/packages/edge/src/hitchdeck_edge/model/refusals.py
@@ -1,4 +1,4 @@
-"""Why a box answers a request itself, and what it says."""
+"""Reasons for which a box refuses a request, and the responses for them."""
 
 from dataclasses import dataclass
 from enum import Enum, unique
@@ -9,33 +9,39 @@
 UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 
 SHARE_RETRY_SECONDS = 2.0
-"""Half of a usual share window: by then half of the share is free.  At 1.0 more
-came back to be refused again: 0.611 of what was owed was earned, and not 0.642
-(one play under overload)."""
+"""Half of a typical share window, after which half of the share is available again.
+At 1.0 more retries were refused again, and 0.611 of the owed work was earned instead of
+0.642 (one simulation under overload)."""
 
 STATE_RETRY_SECONDS = 0.3
-"""A box that has just started knows documents and upstreams by then."""
+"""Time in which a box that has just started learns configuration and upstreams."""
 
 LOAD_RETRY_SECONDS = 0.25
 """About the time in which an engine reads one long prompt."""
 
 TRANSIENT_RETRY_SECONDS = 0.1
-"""Another box, or the next attempt, may well succeed."""
+"""Another box, or the next attempt, is likely to succeed."""
 
 OTHER_BOX_RETRY_SECONDS = 0.02
-"""Only this box is in the way: another one serves at once."""
+"""Only this box cannot serve the request; another one can at once."""
 
 QUARANTINE_RETRY_SECONDS = QUARANTINE_SECONDS
-"""Before it is over every box says the same."""
+"""Until the quarantine expires, every box refuses the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller is told.
-
-    ``retry_after`` is the seconds after which another try makes sense (0:
-    never), ``text`` the answer's text: the refusal's name, so that no two are
-    equal, which an enumeration would take for one.
+    """Response to a refused request.
+
+    Attributes
+    ----------
+    status
+        HTTP status code.
+    retry_after
+        Seconds after which a retry makes sense; 0 for no retry.
+    text
+        Body of the response.  It is different for each refusal: members of an
+        enumeration with equal values would be aliases of one.
     """
 
     status: int
@@ -45,7 +51,7 @@
 
 @unique
 class Refusal(Enum):
-    """Why this box answers itself.  None of these has run."""
+    """Reasons for which this box refuses a request; no upstream ran it."""
 
     bad_request = Reply(HTTPStatus.BAD_REQUEST, 0, 'bad request')
     no_key = Reply(HTTPStatus.UNAUTHORIZED, 0, 'no key')
--- a/packages/edge/src/hitchdeck_edge/model/request_context.py
+++ b/packages/edge/src/hitchdeck_edge/model/request_context.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through an entry box."""
+"""State of a caller's request within an entry box."""
 
 from dataclasses import dataclass, field
 
@@ -9,33 +9,34 @@
 from hitchdeck_edge.model.placing import PlacementQuery
 
 THIS_BOX = 'this box'
-"""Who decided on a request for which no scheduler answered."""
+"""Value of ``decided_by`` for requests that were placed locally."""
 
 
 @dataclass(slots=True)
 class RequestContext:
-    """One request, what was decided on it, and how far it is.
+    """One request, with its route, its account and its progress.
 
     Attributes
     ----------
     version
-        Document under which it was routed.
+        Version of the document by which it was routed.
     arrived, deadline
-        When it was read, and when its final answer is due at the latest.
+        When it was received, and when its final response is due, in seconds of the
+        local clock.
     tried
-        Upstreams that it was sent to, or that could not be reached.
+        Upstreams that it was sent to, or that were unreachable.
     sent
-        How many upstreams it was sent to.
+        Number of upstreams that it was sent to.
     may_have_run
         Whether some upstream may have run it.
     last_event
-        Id of the last event of a stream that the caller has.
+        Id of the last stream event that the caller received.
     decided_by
-        The scheduler that decided on it last, or this box.
+        Address of the scheduler that made the last decision, or ``THIS_BOX``.
     areas
-        Areas in which it may be served; everywhere if empty.
+        Areas in which it may be served; no restriction if empty.
     fingerprint
-        What is the same in each repeat of it, whatever the request's id.
+        Digest of account and content; equal for every retry, whatever the request's id.
     """
 
     call: Call
@@ -55,7 +56,7 @@
     fingerprint: Fingerprint = field(init=False)
 
     def __post_init__(self) -> None:
-        """Take the fingerprint of what the caller sent."""
+        """Compute the fingerprint of the request."""
         call = self.call
         self.fingerprint = fingerprint_of(
             call.method,
@@ -66,7 +67,7 @@
         )
 
     def placement_query(self, domain: str) -> PlacementQuery:
-        """Return what this request asks of a placement."""
+        """Return the placement query of this request, for a box in ``domain``."""
         return PlacementQuery(
             request=self.call.request,
             pool=self.pool.name,
@@ -83,7 +84,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether the request may run a second time."""
+        """Tell whether the request may be retried after it may have run."""
         if self.route.streams:
             return self.route.resumable
         return self.route.repeat is RepeatPolicy.freely
--- a/packages/edge/src/hitchdeck_edge/model/upstreams.py
+++ b/packages/edge/src/hitchdeck_edge/model/upstreams.py
@@ -1,4 +1,4 @@
-"""An upstream, as it reports itself to a hub."""
+"""Records of upstreams, as they report themselves to a hub."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class Phase(Enum):
-    """Where an upstream is in its life."""
+    """Phase in the life cycle of an upstream."""
 
     serving = 0
     leaving = 1
@@ -22,25 +22,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One life of an upstream; every start has a new name.
+    """One incarnation of an upstream: a process from its start until it is gone.
 
-    Whatever is held about an upstream is held under ``name``, and so about a life.
+    Each start gets a new ``name``.  All state about upstreams is stored by name,
+    and so belongs to one incarnation.
 
     Attributes
     ----------
+    slots
+        Number of requests that it runs at once.
     sequence
-        Grows with every report of a life, so that a late one can be told.
+        Number of the report; it grows with every report of an incarnation, so that
+        delayed ones can be recognized.
     cleared_by
-        Sequence of the first report that clears a suspected crash; 0 if there was
-        none.  A suspicion is raised against the newest report that a hub knows.
+        Sequence of the first report that clears a suspected crash; 0 if there was no
+        suspicion.  A suspicion is raised against the newest report that a hub knows.
     instance
-        What it calls itself, in each of its lives.
+        Name that the upstream gives itself, the same for all its incarnations.
     born
-        Orders the lives of an instance: the time of its start in Unix ms, 0 where
-        it does not say; a hub that believes a clock was set back sets it higher.
+        Orders the incarnations of an instance: start time in Unix ms, 0 if not stated.
+        A hub sets it higher if the upstream's clock seems to have been set back.
     cold_left
-        Seconds that it remains cold, as of this report.  They pass, so two records
-        that differ in nothing else are equal.
+        Seconds for which it remains cold, as of this report.  Not compared, since it
+        changes with time alone.
     """
 
     name: UpstreamName
@@ -57,27 +61,27 @@
 
     @property
     def unresponsive(self) -> bool:
-        """Tell whether it is suspected to have crashed, and not heard of since."""
+        """Tell whether a crash is suspected that no later report has cleared."""
         return self.sequence < self.cleared_by
 
     @property
     def rank(self) -> tuple[bool, int]:
-        """Return what is higher for the newer of two records of one incarnation."""
+        """Return a key that is higher for the newer record of an incarnation."""
         return (self.phase is Phase.gone, self.sequence)
 
     @property
     def instance_key(self) -> InstanceName:
-        """Return what all lives of this upstream have in common."""
+        """Return the key that all incarnations of this upstream have in common."""
         return self.instance or InstanceName(self.name)
 
     @property
     def incarnation_rank(self) -> tuple[int, UpstreamName]:
-        """Return what is higher for a later life of the same instance."""
+        """Return a key that is higher for a later incarnation of the same instance."""
         return (self.born, self.name)
 
     @property
     def incarnation(self) -> LifeId:
-        """Return what tells this life from every other one."""
+        """Return the id of this incarnation."""
         return LifeId(self.name)
 
 
@@ -90,5 +94,5 @@
 
 
 def incarnation_name(instance: InstanceName, born: int) -> UpstreamName:
-    """Return the name of one life of an instance."""
+    """Return the name of one incarnation of an instance."""
     return UpstreamName(f'{instance}/{born}' if born else instance)
