--- a/packages/core/src/hitchdeck_core/quarantine/__init__.py
+++ b/packages/core/src/hitchdeck_core/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which upstreams end, known by their content and kept away."""
+"""Quarantine of requests that crash upstreams, recognized by their content."""
--- a/packages/core/src/hitchdeck_core/quarantine/crash_detector.py
+++ b/packages/core/src/hitchdeck_core/quarantine/crash_detector.py
@@ -1,8 +1,8 @@
-"""Finding out whether an upstream ended, where a request's answer broke off.
+"""Detection of crashed upstreams after broken responses.
 
-A broken answer alone says little: links are reset, answers get lost.  A refused
-connection after a broken response means that the upstream crashed, with all requests
-in flight on it.
+A broken response alone can also be caused by the network.  A refused connection
+after a broken response means that the upstream crashed, with all requests in flight on
+it.
 """
 
 from collections import defaultdict
@@ -16,29 +16,31 @@
 from hitchdeck_core.supervisor import Supervisor
 
 Probe = Callable[[], Awaitable[bool]]
-"""Tells whether an upstream accepts connections and goes on running."""
+"""Tells whether an upstream accepts connections and keeps running."""
 
 SUSPICION_TTL_SECONDS = 10.0
-"""Time for a new incarnation at the same address to confirm a suspected crash."""
+"""Time within which a new incarnation of the upstream confirms a suspected crash."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectedCrash:
-    """Requests in flight on an incarnation that may have crashed."""
+    """Requests in flight on an incarnation that may have crashed, and since when."""
 
     in_flight: frozenset[Fingerprint]
     since: float
 
 
 class CrashDetector:
-    """Asks an upstream once, however many answers break off there at once.
+    """Probes an upstream after a broken response, once for concurrent ones.
 
     Attributes
     ----------
     probed
-        Requests in flight on incarnations whose probe is running.
+        Requests in flight on incarnations that are being probed.
     suspected
-        Incarnations that a probe found alive, and that may be the next ones.
+        Incarnations whose probe was accepted, possibly by the next incarnation.
+    on_crash
+        Called with each incarnation for which a probe was refused.
     """
 
     def __init__(
@@ -55,14 +57,14 @@
     def record_broken_response(
         self, incarnation: LifeId, fingerprint: Fingerprint, probe: Probe
     ) -> None:
-        """Note that no whole answer to a content came from an upstream."""
+        """Record that the response to a request broke off, and probe the upstream."""
         already_probed = incarnation in self.probed
         self.probed[incarnation].add(fingerprint)
         if not already_probed:
             self.tasks.temporary(incarnation, self._probe(incarnation, probe))
 
     def confirm_crash(self, incarnation: LifeId) -> None:
-        """Note that a life has surely ended, as its next one is known."""
+        """Record that an incarnation is gone, since a later one is known."""
         self._expire()
         crash = self.suspected.pop(incarnation, None)
         in_flight = crash.in_flight if crash else frozenset()
--- a/packages/core/src/hitchdeck_core/quarantine/crash_history.py
+++ b/packages/core/src/hitchdeck_core/quarantine/crash_history.py
@@ -1,4 +1,7 @@
-"""Which contents were open at upstreams that ended, and which are to blame."""
+"""Requests in flight on upstreams that crashed, and which of them are the likely cause.
+
+Requests are identified by the fingerprint of their content.
+"""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass
@@ -8,28 +11,36 @@
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
 MIN_CRASHES = 3
-"""Upstreams that must have ended under a content.  A wave of crashes takes a request
-that is resumed along twice: of 60 that broke off beside a lethal one, four did so at
-two ends and none at three (logs of eight ends in nine seconds)."""
+"""Crashes from which a request is the likely cause.  In a series of crashes, a harmless
+request that is retried can be in flight during two of them: of 60 requests interrupted
+next to a lethal one, four were in flight at two crashes and none at three (logs of
+eight crashes in nine seconds)."""
 
 CRASH_TTL_SECONDS = 600.0
-"""How long an end is remembered: a lethal request that comes every minute or two is
-still told, one upstream lost every four minutes is not taken for its work."""
+"""Time after which a crash record expires.  It is long enough to recognize a lethal
+request that arrives every one or two minutes, and short enough not to blame a
+request for unrelated crashes that are four minutes apart."""
 
 MAX_CRASH_RECORDS = 4096
-"""Pairs of content and life: 64 requests open at each of 64 ends."""
+"""Most crash records: 64 requests in flight at each of 64 crashes."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """An upstream's life that ended while a content was open there."""
+    """An incarnation that crashed, and a request that was in flight on it."""
 
     fingerprint: Fingerprint
     incarnation: LifeId
 
 
 class CrashHistory:
-    """Pairs of a content and the life of an upstream that ended under it."""
+    """Recent crash records, by request and by incarnation.
+
+    Attributes
+    ----------
+    order
+        Times and records, the oldest first.
+    """
 
     def __init__(self, now: Clock) -> None:
         self.now = now
@@ -38,7 +49,7 @@
         self.order: deque[tuple[float, CrashRecord]] = deque()
 
     def add(self, crash: CrashRecord) -> bool:
-        """Note that a life ended under a content; tell whether that is news."""
+        """Add a record; tell whether it is new."""
         self._expire()
         if self.has(crash):
             return False
@@ -48,14 +59,14 @@
         return True
 
     def has(self, crash: CrashRecord) -> bool:
-        """Tell whether this is known, and neither too old nor forgotten."""
+        """Tell whether a record is present, and not expired or removed."""
         return crash.incarnation in self.by_fingerprint.get(crash.fingerprint, ())
 
     def implicates(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a content is what enough upstreams ended under.
+        """Tell whether a request is the likely cause of enough crashes.
 
-        An end speaks against the content that was there at most ends, and not
-        against those that happened to be open beside it.
+        A crash is attributed to the request that was in flight at the most crashes,
+        and not to the others that were in flight on the same incarnation.
         """
         incarnations = self.by_fingerprint.get(fingerprint, set())
         against = [
@@ -66,12 +77,12 @@
         return len(against) >= MIN_CRASHES
 
     def forget(self, fingerprint: Fingerprint) -> None:
-        """Forget what speaks against a content."""
+        """Remove all records of a request."""
         for incarnation in list(self.by_fingerprint.get(fingerprint, ())):
             self._forget(CrashRecord(fingerprint, incarnation))
 
     def _is_explained(self, incarnation: LifeId, times: int) -> bool:
-        """Tell whether another content of a life was at more ends than ``times``."""
+        """Tell whether another request in flight was at more than ``times`` crashes."""
         return any(
             len(self.by_fingerprint[one]) > times
             for one in self.by_incarnation[incarnation]
@@ -86,7 +97,7 @@
             self._forget(crash)
 
     def _forget(self, crash: CrashRecord) -> None:
-        """Drop a casualty, and what is empty without it."""
+        """Remove a record, and the sets that become empty."""
         incarnations = self.by_fingerprint[crash.fingerprint]
         incarnations.discard(crash.incarnation)
         if not incarnations:
--- a/packages/core/src/hitchdeck_core/quarantine/messages.py
+++ b/packages/core/src/hitchdeck_core/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""News of quarantined contents as they travel between processes."""
+"""Encoding of quarantine updates as protobuf messages."""
 
 from hitchdeck_core.ids import LifeId
 from hitchdeck_core.quarantine.crash_history import CrashRecord
@@ -15,7 +15,7 @@
 
 
 def encode_update(update: QuarantineUpdate, now: float) -> QuarantineNews:
-    """Return the message for news, at a moment of the sender's clock."""
+    """Encode an update; ``now`` is the present time of the sender's clock."""
     return QuarantineNews(
         casualties=[
             CasualtyRecord(content=one.fingerprint, life=one.incarnation)
@@ -34,7 +34,7 @@
 
 
 def decode_update(message: QuarantineNews, now: float) -> QuarantineUpdate:
-    """Return the news of a message, at a moment of the receiver's clock."""
+    """Decode an update; ``now`` is the present time of the receiver's clock."""
     return QuarantineUpdate(
         tuple(
             CrashRecord(Fingerprint(one.content), LifeId(one.life))
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -1,9 +1,10 @@
-"""Contents under which upstreams end: what speaks against each, what is decided.
+"""Quarantine of requests that crash upstreams.
 
-An upstream that ends takes what was open there along, and whatever ended it comes
-again: under another id, at another box, and to another upstream if nobody knows.
-Every process that sends to upstreams has a ``Quarantine``, and so has whoever hears
-of all of them; each decides by what it heard, and what one has decided binds all.
+When an upstream crashes, the requests in flight on it fail, and the one that caused the
+crash is retried: with another id, at another box, and then on another upstream.
+Every process that sends requests to upstreams has a ``Quarantine``, as have the hubs or
+the leader that these processes report to.  Each decides by the crashes that it knows
+of, and its verdicts apply at all processes.
 """
 
 from collections import OrderedDict, deque
@@ -23,19 +24,21 @@
 from hitchdeck_core.signals import Signal
 
 THIS_PROCESS = 'this process'
-"""Origin of what a process decided by itself."""
+"""Origin of verdicts of this process."""
 
 ANSWER_TTL_SECONDS = 60.0
-"""How long an answer speaks for its content.  Many callers may ask for the same, and
-a wave of crashes at four upstreams meets such a content at three at once."""
+"""Time for which a response clears a request.  The same request may come from many
+callers and be in flight on many upstreams: when four crash at once, it can be in flight
+on three of them without being the cause."""
 
 MAX_ANSWERS = 8192
-"""Contents answered of late: two minutes of a box with 70 requests a second."""
+"""Most recently answered requests that are kept: two minutes at 70 requests per
+second."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineUpdate:
-    """What one process tells another: ends that it saw, and verdicts."""
+    """Crashes that a process observed, and verdicts, as sent to another process."""
 
     crashes: tuple[CrashRecord, ...]
     verdicts: tuple[Verdict, ...]
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncPosition:
-    """How much of a process's news another one has."""
+    """Position in the crashes and verdicts of a process up to which a peer has them."""
 
     crashes: int = 0
     verdicts: int = 0
@@ -54,17 +57,20 @@
 
 
 class Quarantine:
-    """Keeps contents away from upstreams under which enough of them ended.
+    """Decides which requests must not be sent to upstreams.
 
     Attributes
     ----------
     changed
-        Notified with each news.
-    seen
-        Ends that this process saw itself, the newest last; ``dropped_crashes`` counts
-        those that were dropped from it.
+        Notified of each change that peers should get.
+    crashes
+        Crashes known to this process.
+    own_crashes
+        Crashes that this process observed itself, the newest last.
+    dropped_crashes
+        Number of records that were dropped from ``own_crashes``.
     answered
-        When each content was answered last, the oldest first.
+        Time of the last response to each request, the oldest first.
     """
 
     def __init__(self, now: Clock, changed: Signal) -> None:
@@ -77,13 +83,13 @@
         self.answered: OrderedDict[Fingerprint, float] = OrderedDict()
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a content is to be kept away from upstreams."""
+        """Tell whether a request must not be sent to upstreams."""
         return self.verdicts.is_quarantined(fingerprint)
 
     def record_crash(
         self, incarnation: LifeId, in_flight: Collection[Fingerprint]
     ) -> None:
-        """Note that an upstream ended under what was open there."""
+        """Record that an incarnation crashed with some requests in flight."""
         logs.warning(
             'upstream ended',
             upstream=incarnation,
@@ -98,7 +104,7 @@
         self.changed.notify()
 
     def record_answer(self, fingerprint: Fingerprint) -> None:
-        """Note that an upstream answered a content, and lives."""
+        """Record that an upstream responded to a request, and clear the request."""
         self.answered.pop(fingerprint, None)
         self.answered[fingerprint] = self.now()
         if len(self.answered) > MAX_ANSWERS:
@@ -106,7 +112,7 @@
         self._clear(fingerprint)
 
     def merge(self, update: QuarantineUpdate, origin: str) -> set[LifeId]:
-        """Take what another process tells; return the lives whose end is news."""
+        """Merge an update; return the incarnations of crashes that were not known."""
         for verdict in update.verdicts:
             self._merge_verdict(verdict, origin)
         return {one.incarnation for one in self._add_crashes(update.crashes)}
@@ -114,9 +120,10 @@
     def update_since(
         self, position: SyncPosition
     ) -> tuple[QuarantineUpdate, SyncPosition]:
-        """Return what another process lacks, and what it has then.
+        """Return the update that a peer lacks, and the peer's position after it.
 
-        Every frame between processes asks, and hardly ever is there anything.
+        The check for an empty update is first, since every frame to a peer calls this
+        and there are rarely any changes.
         """
         if position.verdicts == self.verdicts.changes:
             if position.crashes == self.dropped_crashes + len(self.own_crashes):
@@ -130,7 +137,7 @@
         return QuarantineUpdate(crashes, verdicts), new_position
 
     def _add_crashes(self, crashes: Collection[CrashRecord]) -> list[CrashRecord]:
-        """Take ends, all of them before any content is judged by them."""
+        """Add crash records, all of them before any request is evaluated."""
         fresh = [one for one in crashes if self.crashes.add(one)]
         named = {one.fingerprint for one in fresh}
         for fingerprint in named:
@@ -164,7 +171,7 @@
         self._publish_verdict(verdict.fingerprint)
 
     def _publish_verdict(self, fingerprint: Fingerprint) -> None:
-        """Speak for a content that was answered of late; pass the verdict on."""
+        """Propagate a verdict, or clear the request if it was answered recently."""
         answered = self.answered.get(fingerprint)
         if answered is not None and self.now() - answered < ANSWER_TTL_SECONDS:
             self._clear(fingerprint)
--- a/packages/core/src/hitchdeck_core/quarantine/verdicts.py
+++ b/packages/core/src/hitchdeck_core/quarantine/verdicts.py
@@ -1,7 +1,7 @@
-"""What was decided on contents, merged from every process that decides.
+"""Verdicts on requests, merged from all processes that decide.
 
-Any order of arrival over any path ends in the same state: the later round of a
-content wins, and within a round the stricter standing.
+They converge to the same state in any order of arrival: the verdict of a later round
+wins, and within a round the stricter status.
 """
 
 from dataclasses import dataclass
@@ -11,29 +11,34 @@
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
 QUARANTINE_SECONDS = 600.0
-"""How long a content is kept away.  After it three more upstreams end before it is
-kept away again: at most one every 200 s."""
+"""Duration of a quarantine.  Afterwards three more upstreams crash before the request
+is quarantined again, so a lethal request causes at most one crash every 200 s."""
 
 MAX_VERDICTS = 1024
-"""Bounds the memory (200 kB) where contents are made up to fill it; the oldest
-goes first."""
+"""Bounds memory to 200 kB, even against requests that are crafted to fill it; the
+oldest verdict is dropped first."""
 
 
 class VerdictStatus(Enum):
-    """What is decided on a content."""
+    """What is decided on a request."""
 
     cleared = 0
-    """A request with this content was answered, so that is not what ends upstreams."""
+    """An upstream responded to the request, so it is not the cause of crashes."""
 
     quarantined = 1
-    """No upstream may get a request with this content."""
+    """The request must not be sent to any upstream."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The standing of a content; ``since`` is when, on this process's clock.
+    """The status of a request, as decided by some process.
 
-    ``round_number`` counts the rounds: each time a content is cleared starts one.
+    Attributes
+    ----------
+    round_number
+        Number of times that the request was cleared before; each starts a new round.
+    since
+        Time of the decision, on this process's clock.
     """
 
     fingerprint: Fingerprint
@@ -43,17 +48,19 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return what decides between two verdicts on a content."""
+        """Return a key that is higher for the verdict that wins."""
         return (self.round_number, self.status.value)
 
 
 class Verdicts:
-    """The newest verdict on each content.
+    """The newest verdict on each request.
 
     Attributes
     ----------
     changes
-        Number of the last change; ``change_numbers`` tells each verdict's.
+        Number of the last change.
+    change_numbers
+        Number of the last change of each verdict.
     """
 
     def __init__(self, now: Clock) -> None:
@@ -63,14 +70,14 @@
         self.changes = 0
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a content is to be kept away from upstreams."""
+        """Tell whether a request is quarantined at present."""
         verdict = self.known.get(fingerprint)
         if verdict is None or verdict.status is not VerdictStatus.quarantined:
             return False
         return not self._is_expired(verdict)
 
     def quarantine(self, fingerprint: Fingerprint) -> bool:
-        """Keep a content away; tell whether that is news."""
+        """Quarantine a request; tell whether that is a change."""
         return self.merge(
             Verdict(
                 fingerprint,
@@ -81,7 +88,7 @@
         )
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Let a content pass that is kept away; tell whether it was."""
+        """End the quarantine of a request; tell whether there was one."""
         if not self.is_quarantined(fingerprint):
             return False
         number = self._round(fingerprint) + 1
@@ -90,7 +97,7 @@
         )
 
     def merge(self, verdict: Verdict) -> bool:
-        """Take a verdict if it is newer than what is known; tell whether it was."""
+        """Merge a verdict; tell whether it won over the known one."""
         if self._is_expired(verdict):
             return False
         known = self.known.get(verdict.fingerprint)
