--- a/packages/core/src/hitchdeck_core/quarantine/verdicts.py
+++ b/packages/core/src/hitchdeck_core/quarantine/verdicts.py
@@ -48,7 +48,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return a key that is higher for the verdict that wins."""
+        """Return a key that is higher for the verdict that wins a merge."""
         return (self.round_number, self.status.value)
 
 
--- a/packages/edge/src/hitchdeck_edge/state/registry.py
+++ b/packages/edge/src/hitchdeck_edge/state/registry.py
@@ -198,7 +198,7 @@
                 and not record.unresponsive
                 and record.phase is not Phase.gone
             ):
-                logs.warning('upstream silent', upstream=name, seconds=limit)
+                logs.warning('no report of upstream', upstream=name, seconds=limit)
                 self._raise_suspicion(record)
 
     def suspect(self, incarnation: LifeId) -> None:
@@ -294,7 +294,7 @@
         if holder is None or holder == record.name or holder not in self.records:
             return
         if self.hears_reports and self._raise_suspicion(self.records[holder]):
-            logs.info('upstream superseded', upstream=holder, by=record.name)
+            logs.info('address reported by another', upstream=holder, by=record.name)
 
     def _raise_suspicion(self, record: Upstream) -> bool:
         if record.phase is Phase.gone or record.unresponsive:
