--- a/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/cold_budget.py
@@ -47,7 +47,7 @@
     rate_of
         Returns the requests per second that a cold upstream of a pool can handle; 0
         if there is no limit.
-    part
+    rate_fraction
         Returns the fraction of that rate that this process may use, from 0 to 1.
     """
 
--- a/packages/edge/src/hitchdeck_edge/scheduling/queue_limit.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/queue_limit.py
@@ -33,9 +33,9 @@
 step (slot and context) at 40 input tokens per millisecond."""
 
 FULL_EFFICIENCY = 3.0
-"""Efficiency from which the limit is not reduced: that of a long prompt whose shared
-part is cached.  Short prompts have about 1.3.  Efficiency is a request's size in
-the unit of the shares, divided by the work that it costs the engine."""
+"""Efficiency from which the limit is not reduced further: that of a long prompt whose
+shared part is cached.  Short prompts have 1.3.  Efficiency is a request's size in the
+unit of the shares, divided by the work that it costs the engine."""
 
 MIN_EFFICIENCY_FACTOR = 0.25
 """Lower bound of the reduction for low efficiency, so that no kind of request is
@@ -53,9 +53,9 @@
 
     Parameters
     ----------
-    wanted, choice
+    query, choice
         The request, and the upstream that it would be sent to.
-    standing
+    share_used
         What its account was granted, as a fraction of the fair share level.
     yielding
         Whether the efficiency of the request counts.
--- a/packages/edge/src/hitchdeck_edge/scheduling/shares.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/shares.py
@@ -159,9 +159,9 @@
 
         At the start of a span it is the capacity since then.  Engines that crashed or
         are slow have less capacity than stated, so it is also bounded by what was
-        granted.  With the stated capacity alone no account reached the level, and one
-        that demanded a tenth of an engine's rate got 0.075 of it beside three
-        that demanded more.
+        granted, scaled to the demand at all boxes.  With the stated capacity alone no
+        account reached the level, and one that demanded a tenth of an engine's rate got
+        0.075 of that rate beside three accounts that demanded more.
 
         Parameters
         ----------
