--- a/packages/control/src/hitchdeck_control/fleet/deltas.py
+++ b/packages/control/src/hitchdeck_control/fleet/deltas.py
@@ -1,12 +1,12 @@
 """Configuration changes as routers receive them."""
 
 from hitchdeck_control.machine.configuration import changes_since
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_core.resources import encode_resource
 from hitchdeck_core.wire.hitchdeck_pb2 import Delta, ResourceChange
 
 
-class Deltas:
+class DeltaCache:
     """Deltas to the present version, made once for all routers.
 
     After a change every router needs the same one, and after a leader's loss
@@ -14,22 +14,22 @@
     12,000 upstreams busy for longer than its lease.
     """
 
-    def __init__(self, machine: Machine) -> None:
+    def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.version = 0
-        self.by_start: dict[int, Delta] = {}
+        self.by_base_version: dict[int, Delta] = {}
 
     def since(self, version: int) -> Delta:
         """Return what a router at a version lacks."""
         if self.version != self.machine.state.version:
             self.version = self.machine.state.version
-            self.by_start.clear()
-        if version not in self.by_start:
-            self.by_start[version] = delta_from(self.machine, version)
-        return self.by_start[version]
+            self.by_base_version.clear()
+        if version not in self.by_base_version:
+            self.by_base_version[version] = build_delta(self.machine, version)
+        return self.by_base_version[version]
 
 
-def delta_from(machine: Machine, version: int) -> Delta:
+def build_delta(machine: StateMachine, version: int) -> Delta:
     """Return what a router at a version lacks, all of it if need be."""
     state = machine.state
     changes = changes_since(state, version) if version else None
@@ -38,22 +38,22 @@
             version=state.version,
             full=True,
             changes=[
-                _written(key, encode_resource(kept.resource))
-                for key, kept in state.resources.items()
+                _upsert(key, encode_resource(stored.resource))
+                for key, stored in state.resources.items()
             ],
         )
     keys = dict.fromkeys(f'{one.kind}/{one.name}' for one in changes)
     delta = Delta(from_version=version, version=state.version)
     for key in keys:
-        kept = state.resources.get(key)
-        if kept is None:
+        stored = state.resources.get(key)
+        if stored is None:
             kind, _, name = key.partition('/')
             delta.changes.append(ResourceChange(kind=kind, name=name, deleted=True))
         else:
-            delta.changes.append(_written(key, encode_resource(kept.resource)))
+            delta.changes.append(_upsert(key, encode_resource(stored.resource)))
     return delta
 
 
-def _written(key: str, body: bytes) -> ResourceChange:
+def _upsert(key: str, body: bytes) -> ResourceChange:
     kind, _, name = key.partition('/')
     return ResourceChange(kind=kind, name=name, body=body)
--- a/packages/core/src/hitchdeck_core/quarantine/crash_detector.py
+++ b/packages/core/src/hitchdeck_core/quarantine/crash_detector.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core import logs
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.supervisor import Supervisor
@@ -46,16 +46,16 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        on_crash: Callable[[LifeId], object],
+        on_crash: Callable[[UpstreamIncarnation], object],
     ) -> None:
         self.quarantine = quarantine
         self.on_crash = on_crash
-        self.probed: dict[LifeId, set[Fingerprint]] = defaultdict(set)
-        self.suspected: dict[LifeId, SuspectedCrash] = {}
+        self.probed: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(set)
+        self.suspected: dict[UpstreamIncarnation, SuspectedCrash] = {}
         self.tasks = Supervisor('endings')
 
     def record_broken_response(
-        self, incarnation: LifeId, fingerprint: Fingerprint, probe: Probe
+        self, incarnation: UpstreamIncarnation, fingerprint: Fingerprint, probe: Probe
     ) -> None:
         """Record that the response to a request broke off, and probe the upstream."""
         already_probed = incarnation in self.probed
@@ -63,7 +63,7 @@
         if not already_probed:
             self.tasks.temporary(incarnation, self._probe(incarnation, probe))
 
-    def confirm_crash(self, incarnation: LifeId) -> None:
+    def confirm_crash(self, incarnation: UpstreamIncarnation) -> None:
         """Record that an incarnation is gone, since a later one is known."""
         self._expire()
         crash = self.suspected.pop(incarnation, None)
@@ -73,7 +73,7 @@
         if in_flight:
             self.quarantine.record_crash(incarnation, in_flight)
 
-    async def _probe(self, incarnation: LifeId, probe: Probe) -> None:
+    async def _probe(self, incarnation: UpstreamIncarnation, probe: Probe) -> None:
         try:
             alive = await probe()
         finally:
@@ -92,7 +92,9 @@
         self.on_crash(incarnation)
         self.quarantine.record_crash(incarnation, in_flight)
 
-    def _suspect(self, incarnation: LifeId, in_flight: set[Fingerprint]) -> None:
+    def _suspect(
+        self, incarnation: UpstreamIncarnation, in_flight: set[Fingerprint]
+    ) -> None:
         self._expire()
         before = self.suspected.pop(incarnation, None)
         known = before.in_flight if before else frozenset()
--- a/packages/core/src/hitchdeck_core/quarantine/crash_history.py
+++ b/packages/core/src/hitchdeck_core/quarantine/crash_history.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 
 MIN_CRASHES = 3
@@ -30,7 +30,7 @@
     """An incarnation that crashed, and a request that was in flight on it."""
 
     fingerprint: Fingerprint
-    incarnation: LifeId
+    incarnation: UpstreamIncarnation
 
 
 class CrashHistory:
@@ -44,8 +44,12 @@
 
     def __init__(self, now: Clock) -> None:
         self.now = now
-        self.by_fingerprint: dict[Fingerprint, set[LifeId]] = defaultdict(set)
-        self.by_incarnation: dict[LifeId, set[Fingerprint]] = defaultdict(set)
+        self.by_fingerprint: dict[Fingerprint, set[UpstreamIncarnation]] = defaultdict(
+            set
+        )
+        self.by_incarnation: dict[UpstreamIncarnation, set[Fingerprint]] = defaultdict(
+            set
+        )
         self.order: deque[tuple[float, CrashRecord]] = deque()
 
     def add(self, crash: CrashRecord) -> bool:
@@ -81,7 +85,7 @@
         for incarnation in list(self.by_fingerprint.get(fingerprint, ())):
             self._forget(CrashRecord(fingerprint, incarnation))
 
-    def _is_explained(self, incarnation: LifeId, times: int) -> bool:
+    def _is_explained(self, incarnation: UpstreamIncarnation, times: int) -> bool:
         """Tell whether another request in flight was at more than ``times`` crashes."""
         return any(
             len(self.by_fingerprint[one]) > times
--- a/packages/core/src/hitchdeck_core/quarantine/messages.py
+++ b/packages/core/src/hitchdeck_core/quarantine/messages.py
@@ -1,6 +1,6 @@
 """Encoding of quarantine updates as protobuf messages."""
 
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.crash_history import CrashRecord
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import QuarantineUpdate
@@ -37,7 +37,7 @@
     """Decode an update; ``now`` is the present time of the receiver's clock."""
     return QuarantineUpdate(
         tuple(
-            CrashRecord(Fingerprint(one.content), LifeId(one.life))
+            CrashRecord(Fingerprint(one.content), UpstreamIncarnation(one.life))
             for one in message.casualties
         ),
         tuple(_verdict(one, now) for one in message.verdicts),
--- a/packages/core/src/hitchdeck_core/quarantine/quarantine.py
+++ b/packages/core/src/hitchdeck_core/quarantine/quarantine.py
@@ -13,7 +13,7 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import LifeId
+from hitchdeck_core.ids import UpstreamIncarnation
 from hitchdeck_core.quarantine.crash_history import (
     MAX_CRASH_RECORDS,
     CrashHistory,
@@ -87,7 +87,7 @@
         return self.verdicts.is_quarantined(fingerprint)
 
     def record_crash(
-        self, incarnation: LifeId, in_flight: Collection[Fingerprint]
+        self, incarnation: UpstreamIncarnation, in_flight: Collection[Fingerprint]
     ) -> None:
         """Record that an incarnation crashed with some requests in flight."""
         logs.warning(
@@ -111,7 +111,7 @@
             self.answered.popitem(last=False)
         self._clear(fingerprint)
 
-    def merge(self, update: QuarantineUpdate, origin: str) -> set[LifeId]:
+    def merge(self, update: QuarantineUpdate, origin: str) -> set[UpstreamIncarnation]:
         """Merge an update; return the incarnations of crashes that were not known."""
         for verdict in update.verdicts:
             self._merge_verdict(verdict, origin)
--- a/packages/edge/src/hitchdeck_edge/model/upstreams.py
+++ b/packages/edge/src/hitchdeck_edge/model/upstreams.py
@@ -6,8 +6,8 @@
 from hitchdeck_core.ids import (
     Address,
     InstanceName,
-    LifeId,
     PoolName,
+    UpstreamIncarnation,
     UpstreamName,
 )
 
@@ -80,9 +80,9 @@
         return (self.born, self.name)
 
     @property
-    def incarnation(self) -> LifeId:
+    def incarnation(self) -> UpstreamIncarnation:
         """Return the id of this incarnation."""
-        return LifeId(self.name)
+        return UpstreamIncarnation(self.name)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/edge/src/hitchdeck_edge/process.py
+++ b/packages/edge/src/hitchdeck_edge/process.py
@@ -6,27 +6,27 @@
 from tornado.httpserver import HTTPServer
 
 from hitchdeck_core import logs
-from hitchdeck_core.busyness import PERCENT, busy_part, take_longest_turn
 from hitchdeck_core.channels import split_address
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName
+from hitchdeck_core.loop_load import PERCENT, loop_utilization, take_longest_turn
 from hitchdeck_core.sockets import listening_socket
 from hitchdeck_core.supervisor import Supervisor
-from hitchdeck_edge.dispatch.budget import RepeatBudget
-from hitchdeck_edge.dispatch.connections import Connections
+from hitchdeck_edge.dispatch.budget import RetryBudget
+from hitchdeck_edge.dispatch.connections import ConnectionPool
 from hitchdeck_edge.dispatch.dispatcher import Dispatcher
 from hitchdeck_edge.dispatch.sender import Sender
-from hitchdeck_edge.links.attend import Attendant
 from hitchdeck_edge.links.entry import EntryLink
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.hub_streams import HubStreams
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.adapter import PlatformAdapter
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.serving.admission import Admission
-from hitchdeck_edge.serving.doors import listen, metrics_page, ready_page
-from hitchdeck_edge.serving.front import FrontDoor
+from hitchdeck_edge.serving.caller_server import CallerServer
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
 from hitchdeck_edge.serving.handoff import Handoff
-from hitchdeck_edge.serving.stopping import Stopping
+from hitchdeck_edge.serving.status_pages import listen, metrics_page, ready_page
 from hitchdeck_edge.settings import EntrySettings
 from hitchdeck_edge.state.fleet_state import FleetState, new_fleet_state
 from hitchdeck_edge.state.relief import ReliefTargets
@@ -34,10 +34,10 @@
 STOP_POLL_SECONDS = 0.1
 """Between two looks whether a stopping box may end."""
 
-UPKEEP_SECONDS = 2.0
+UPKEEP_INTERVAL_SECONDS = 2.0
 """Between two looks for connections to upstreams that are gone."""
 
-BEHIND_SECONDS = 0.25
+SLOW_TURN_SECONDS = 0.25
 """A turn of the loop from which the log says that this box is behind: half of
 the time after which a caller's close must have stopped its work."""
 
@@ -48,25 +48,25 @@
 
     settings: EntrySettings
     link: EntryLink
-    book: HubBook
+    known_hubs: KnownHubs
     admission: Admission
-    door: FrontDoor
-    stopping: Stopping
+    caller_server: CallerServer
+    graceful_stop: GracefulStop
     supervisor: Supervisor
     servers: list[HTTPServer] = field(default_factory=list)
 
     async def drain(self) -> None:
         """Stop as planned: cut nothing that can end within the grace."""
-        self.stopping.begin()
+        self.graceful_stop.begin()
         self.link.announce(ready=False)
-        self.door.close_after_answers()
+        self.caller_server.close_after_answers()
         logs.info('stopping', open_requests=len(self.admission.tasks))
-        while not self.stopping.may_end(idle=self._is_idle()):
+        while not self.graceful_stop.may_exit(idle=self._is_idle()):
             await asyncio.sleep(STOP_POLL_SECONDS)
 
     async def stop(self) -> None:
         """Close the doors and end the tasks."""
-        self.door.stop()
+        self.caller_server.stop()
         for server in self.servers:
             server.stop()
         await self.supervisor.stop()
@@ -75,65 +75,65 @@
         """Tell whether callers may be sent here."""
         return self.link.ready
 
-    async def keep_up(self) -> None:
+    async def run_upkeep(self) -> None:
         """Keep readiness true, close what leads to gone upstreams; for ever."""
         while True:
-            if self.stopping.began is None:
+            if self.graceful_stop.started_at is None:
                 known = self.link.known.documents.document is not None
                 self.link.announce(ready=known)
-            self._close_gone()
-            self._note_turns()
-            await self.link.known.documents.changed.wait(UPKEEP_SECONDS)
+            self._release_removed_upstreams()
+            self._report_slow_turns()
+            await self.link.known.documents.changed.wait(UPKEEP_INTERVAL_SECONDS)
 
     def _is_idle(self) -> bool:
-        return not (self.admission.tasks or self.door.handoff.open)
+        return not (self.admission.tasks or self.caller_server.handoff.open)
 
-    def _note_turns(self) -> None:
+    def _report_slow_turns(self) -> None:
         """Tell how long this box looked at no socket, where it was long."""
         longest = take_longest_turn()
-        self.admission.gauges.longest_turn = longest
-        if longest > BEHIND_SECONDS:
+        self.admission.metrics.longest_turn = longest
+        if longest > SLOW_TURN_SECONDS:
             logs.warning(
                 'behind its sockets',
                 longest_turn=round(longest, 3),
-                busy_percent=round(PERCENT * busy_part()),
+                busy_percent=round(PERCENT * loop_utilization()),
                 open_requests=len(self.admission.tasks),
             )
 
-    def _close_gone(self) -> None:
+    def _release_removed_upstreams(self) -> None:
         sender = self.admission.dispatcher.sender
         registry = self.link.known.registry
         for name in registry.gone():
-            sender.connections.drop(name)
+            sender.connections.close_idle(name)
         for record, newer in registry.replaced():
-            sender.leave(record, newer)
-        sender.backpressure.keep(registry.names())
-        self.admission.gauges.unwilling = len(sender.backpressure.closed())
-        self.admission.gauges.upstream_changes = registry.changes
-        self.admission.gauges.handed_on = self.door.handoff.handed
+            sender.replace(record, newer)
+        sender.backpressure.retain(registry.names())
+        self.admission.metrics.unwilling_upstreams = len(sender.backpressure.blocked())
+        self.admission.metrics.upstream_changes = registry.changes
+        self.admission.metrics.handed_off = self.caller_server.handoff.handed_off
 
 
 async def start_entry(settings: EntrySettings, adapter: PlatformAdapter) -> EntryBox:
     """Start an entry box that speaks a platform's dialect."""
     fleet_state = new_fleet_state(settings, adapter)
     seeds = map(Address, settings.seeds)
-    book = HubBook(BoxName(settings.box), settings.domain, seeds, boot_seconds)
-    dispatcher = _dispatcher(settings, adapter, fleet_state, book)
-    stopping = Stopping(settings.stop_grace, boot_seconds)
-    admission = Admission(adapter, fleet_state, dispatcher, stopping, boot_seconds)
+    known_hubs = KnownHubs(BoxName(settings.box), settings.domain, seeds, boot_seconds)
+    dispatcher = _dispatcher(settings, adapter, fleet_state, known_hubs)
+    graceful_stop = GracefulStop(settings.stop_grace, boot_seconds)
+    admission = Admission(adapter, fleet_state, dispatcher, graceful_stop, boot_seconds)
     targets = ReliefTargets(boot_seconds)
     box = EntryBox(
         settings=settings,
         link=EntryLink(settings, fleet_state, dispatcher.budget, targets),
-        book=book,
+        known_hubs=known_hubs,
         admission=admission,
-        door=FrontDoor(
-            admission.take,
+        caller_server=CallerServer(
+            admission.start_serving,
             admission.shedder,
             Handoff(targets),
-            admission.is_short_of_time,
+            admission.is_overloaded,
         ),
-        stopping=stopping,
+        graceful_stop=graceful_stop,
         supervisor=Supervisor('entry'),
     )
     _start(box)
@@ -145,9 +145,9 @@
     settings: EntrySettings,
     adapter: PlatformAdapter,
     fleet_state: FleetState,
-    book: HubBook,
+    known_hubs: KnownHubs,
 ) -> Dispatcher:
-    budget = RepeatBudget(
+    budget = RetryBudget(
         settings.retry_share,
         settings.retry_extra,
         settings.retry_window,
@@ -155,15 +155,15 @@
     )
     link = PlacingLink(
         settings.box,
-        book,
+        known_hubs,
         fleet_state.registry,
         settings.fleet_token,
         fleet_state.scheduler.shares,
     )
     chooser = Chooser(settings.domain, fleet_state.scheduler, link)
     # A box that decides alone has the part of one box.
-    chooser.local.placement.cold_budget.rate_fraction = budget.part_of_fleet
-    connections = Connections(boot_seconds)
+    chooser.local.placement.cold_budget.rate_fraction = budget.fleet_fraction
+    connections = ConnectionPool(boot_seconds)
     quarantine = fleet_state.quarantine
     sender = Sender(adapter, chooser, connections, quarantine, boot_seconds)
     return Dispatcher(adapter, chooser, sender, budget, boot_seconds)
@@ -172,21 +172,21 @@
 def _start(box: EntryBox) -> None:
     settings = box.settings
     host, port = split_address(Address(settings.listen))
-    box.door.listen(listening_socket(host, port))
+    box.caller_server.listen(listening_socket(host, port))
     if settings.relief_listen is not None:
         relief = listening_socket(*split_address(settings.relief_listen))
-        box.door.listen_for_relief(relief)
+        box.caller_server.listen_for_relief(relief)
     ready = ready_page(box.is_ready)
     box.servers.append(listen(ready, Address(settings.ready_listen)))
     if settings.metrics_listen is not None:
-        figures = metrics_page(box.admission.gauges.text)
+        figures = metrics_page(box.admission.metrics.render)
         box.servers.append(listen(figures, Address(settings.metrics_listen)))
-    attendance = box.link.attendance(box.book)
-    attendant = Attendant(box.book, attendance, settings.fleet_token)
-    box.supervisor.permanent('hubs', attendant.run)
+    handlers = box.link.stream_handlers(box.known_hubs)
+    streams = HubStreams(box.known_hubs, handlers, settings.fleet_token)
+    box.supervisor.permanent('hubs', streams.run)
     connections = box.admission.dispatcher.sender.connections
     box.supervisor.permanent('connections', connections.sweep)
-    box.supervisor.permanent('upkeep', box.keep_up)
+    box.supervisor.permanent('upkeep', box.run_upkeep)
     chooser = box.admission.dispatcher.chooser
     box.supervisor.permanent('shares', chooser.local.run)
     box.supervisor.permanent('scheduler', chooser.link.run)
--- a/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
+++ b/packages/edge/src/hitchdeck_edge/scheduling/chooser.py
@@ -30,17 +30,17 @@
 
     def give_back(self, choice: Choice) -> None:
         """Release a choice that is not used, so that it no longer counts as load."""
-        self.link.give_back(choice.ticket)
+        self.link.release(choice.ticket)
 
     def backoff_left(self, pool: PoolName) -> float:
         """Return the seconds until some upstream of a pool accepts requests again."""
         serving = self.local.placement.registry.serving(pool)
-        return self.backpressure.seconds_left(one.name for one in serving)
+        return self.backpressure.seconds_until_accepting(one.name for one in serving)
 
     async def choose(self, context: RequestContext) -> Choice | Refusal:
         """Return the upstream to send a request to, or the reason for refusing it."""
         query = context.placement_query(self.domain)
-        closed = self.backpressure.closed()
+        closed = self.backpressure.blocked()
         if closed:
             query = replace(query, avoid=frozenset(closed))
             if not self.local.placement.eligible(query):
--- a/packages/router/src/hitchdeck_router/scheduling/shard.py
+++ b/packages/router/src/hitchdeck_router/scheduling/shard.py
@@ -10,26 +10,26 @@
 
 from hitchdeck_core.ids import AccountName, Incarnation, UpstreamName
 from hitchdeck_core.resources import Urgency
+from hitchdeck_router.scheduling.capacity import ShardCapacity
 from hitchdeck_router.scheduling.fairness import FairShare
-from hitchdeck_router.scheduling.placement import CacheRecord
+from hitchdeck_router.scheduling.placement import CacheIndex
 from hitchdeck_router.scheduling.policy import URGENT_CREDIT, ShardPolicy
 from hitchdeck_router.scheduling.queueing import (
     AccountQueue,
     TicketKey,
     WaitingTicket,
 )
-from hitchdeck_router.scheduling.rooms import Rooms
 
 DEBT_CAP = 20_000.0
 """Weighted cost by which an account may stand above the least served."""
 
-PATIENCE = 20.0
+STARVATION_SECONDS = 20.0
 """Seconds after which a waiting ticket may be served out of turn."""
 
-_PATIENT_TURN = 8
+_GRANTS_PER_STARVED_TICKET = 8
 """At most one grant in this many goes out of turn."""
 
-_FIRST_RETRY_AFTER = 0.5
+_MIN_RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedTicket:
     """A ticket that has got a slot.
 
     ``moved_from`` is where its session ran last, if that is elsewhere.
@@ -80,17 +80,17 @@
         self.queues: dict[AccountName, AccountQueue] = {}
         self.tickets: dict[TicketKey, WaitingTicket] = {}
         self.held: dict[TicketKey, HeldSlot] = {}
-        self.rooms = Rooms()
-        self.cache = CacheRecord()
+        self.capacity = ShardCapacity()
+        self.cache = CacheIndex()
         self.counters = Counters()
-        self.since_patient = 0
+        self.grants_since_starved = 0
 
     def set_upstreams(self, slots: dict[UpstreamName, int], now: float) -> None:
         """Say which upstreams may get new work, and their slots."""
         held: dict[UpstreamName, set[TicketKey]] = defaultdict(set)
         for key, slot in self.held.items():
             held[slot.upstream].add(key)
-        self.rooms.set_upstreams(slots, held, now)
+        self.capacity.set_upstreams(slots, held, now)
 
     def submit(self, ticket: WaitingTicket) -> QueueFull | None:
         """Queue a ticket, or say that its account has too many waiting.
@@ -105,7 +105,7 @@
             return QueueFull(self._retry_after(queue))
         if not queue.length:
             weight = self.policy.weight_of(ticket.account)
-            self.fair.enter(ticket.account, weight, self.backlogged())
+            self.fair.activate(ticket.account, weight, self.backlogged())
         queue.push(ticket)
         self.tickets[ticket.key] = ticket
         return None
@@ -116,7 +116,7 @@
         if ticket is not None:
             self.queues[ticket.account].remove(ticket)
 
-    def expired(self, now: float) -> list[WaitingTicket]:
+    def pop_expired(self, now: float) -> list[WaitingTicket]:
         """Take out and return the tickets whose deadline has passed."""
         late = [one for one in self.tickets.values() if one.deadline <= now]
         for ticket in late:
@@ -144,16 +144,16 @@
         slot = self.held.get(key)
         if slot is None:
             return 0.0
-        load = self.rooms.loads.get(slot.upstream)
+        load = self.capacity.loads.get(slot.upstream)
         if load is not None:
             load.observe_gap(gap, now)
-        grown = max(0.0, cost - slot.spent)
-        used = min(slot.pending, grown)
+        increase = max(0.0, cost - slot.spent)
+        used = min(slot.pending, increase)
         self.fair.settle_estimate(slot.account, used)
-        self.fair.serve(slot.account, grown)
+        self.fair.add_service(slot.account, increase)
         slot.pending -= used
-        slot.spent += grown
-        return grown
+        slot.spent += increase
+        return increase
 
     def release(self, key: TicketKey, *, failed: bool, now: float) -> None:
         """Free a slot."""
@@ -162,38 +162,38 @@
             return
         self.fair.settle_estimate(slot.account, slot.pending)
         if not failed and slot.spent:
-            self.fair.learn(slot.account, slot.spent)
-        load = self.rooms.loads.get(slot.upstream)
+            self.fair.update_mean_cost(slot.account, slot.spent)
+        load = self.capacity.loads.get(slot.upstream)
         if load is None:
             return
         load.held.discard(key)
         if failed:
-            load.note_failure(now)
+            load.record_failure(now)
         else:
-            load.note_success()
-        self.rooms.refresh(slot.upstream, now)
+            load.record_success()
+        self.capacity.refresh(slot.upstream, now)
 
-    def drop_attendant(self, attendant: Incarnation, now: float) -> None:
+    def drop_router(self, incarnation: Incarnation, now: float) -> None:
         """Free all that a router life held or waited for."""
-        for waiting in _of_attendant(self.tickets, attendant):
+        for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
-        for key in _of_attendant(self.held, attendant):
+        for key in _keys_of(self.held, incarnation):
             self.release(key, failed=False, now=now)
 
     def keep_only(
         self,
-        attendant: Incarnation,
+        incarnation: Incarnation,
         held: set[TicketKey],
         now: float,
     ) -> None:
         """Forget what a router life that connects anew does not re-send."""
-        for waiting in _of_attendant(self.tickets, attendant):
+        for waiting in _keys_of(self.tickets, incarnation):
             self.cancel(waiting)
-        for key in _of_attendant(self.held, attendant):
+        for key in _keys_of(self.held, incarnation):
             if key not in held:
                 self.release(key, failed=False, now=now)
 
-    def grants(self, now: float) -> Iterator[Placed]:
+    def grants(self, now: float) -> Iterator[PlacedTicket]:
         """Grant slots while there are tickets and room for them."""
         while self.tickets:
             placed = self._next_grant(now)
@@ -207,15 +207,17 @@
 
     def service_gap(self) -> float:
         """Return the widest gap in weighted service among the backlogged."""
-        virtual = [self.fair.shares[one].virtual() for one in self.backlogged()]
-        return max(virtual) - min(virtual) if virtual else 0.0
+        virtual_service = [
+            self.fair.shares[one].virtual_service() for one in self.backlogged()
+        ]
+        return max(virtual_service) - min(virtual_service) if virtual_service else 0.0
 
     def gap_bound(self) -> float:
         """Return the bound on that gap: twice what can be in flight, plus credit.
 
         See docs/design/fairness.md for the derivation.
         """
-        slots = sum(load.slots for load in self.rooms.loads.values())
+        slots = sum(load.slots for load in self.capacity.loads.values())
         shares = [self.fair.shares[one] for one in self.backlogged()]
         largest = max(
             ((one.mean_cost or 0.0) / one.weight for one in shares),
@@ -223,8 +225,8 @@
         )
         return 2 * slots * largest + URGENT_CREDIT
 
-    def _next_grant(self, now: float) -> Placed | None:
-        if not self.rooms.free and not self._may_exceed():
+    def _next_grant(self, now: float) -> PlacedTicket | None:
+        if not self.capacity.free and not self._may_overcommit():
             return None
         for ticket in self._candidates(now):
             upstream = self._place(ticket, now)
@@ -232,7 +234,7 @@
                 return self._grant(ticket, upstream, now)
         return None
 
-    def _may_exceed(self) -> bool:
+    def _may_overcommit(self) -> bool:
         """Tell whether urgent work waits that may go beyond the slots."""
         return self.policy.urgent_overcommit > 0 and any(
             queue.heaps[Urgency.urgent] for queue in self.queues.values()
@@ -249,68 +251,68 @@
         heads.sort(
             key=lambda head: self.policy.rank(shares[head.account], head, now),
         )
-        patient = self._patient_ticket(now)
-        return [patient, *heads] if patient else heads
+        starved = self._starved_ticket(now)
+        return [starved, *heads] if starved else heads
 
-    def _patient_ticket(self, now: float) -> WaitingTicket | None:
+    def _starved_ticket(self, now: float) -> WaitingTicket | None:
         """Return a ticket that has waited too long, once every few grants.
 
         Fair shares alone do not keep a ticket from waiting: its account may
         be served all it is due by another shard.
         """
-        if self.since_patient < _PATIENT_TURN:
+        if self.grants_since_starved < _GRANTS_PER_STARVED_TICKET:
             return None
         queue = min(
             (self.queues[name] for name in self.backlogged()),
-            key=lambda one: one.longest_waiting(),
+            key=lambda one: one.oldest_since(),
             default=None,
         )
-        if queue is None or now - queue.longest_waiting() < PATIENCE:
+        if queue is None or now - queue.oldest_since() < STARVATION_SECONDS:
             return None
         return queue.head(now)
 
     def _place(self, ticket: WaitingTicket, now: float) -> UpstreamName | None:
-        preferred = self.cache.holder(ticket.prefix, ticket.session)
-        chosen = self.rooms.choose(preferred, ticket.avoid)
+        preferred = self.cache.lookup(ticket.prefix, ticket.session)
+        chosen = self.capacity.choose(preferred, ticket.avoid)
         extra = self.policy.urgent_overcommit
         if chosen is not None or not extra:
             return chosen
         if ticket.urgency_at(now) is not Urgency.urgent:
             return None
-        return self.rooms.choose_beyond(preferred, ticket.avoid, extra, now)
+        return self.capacity.choose_overcommitted(preferred, ticket.avoid, extra, now)
 
     def _grant(
         self,
         ticket: WaitingTicket,
         upstream: UpstreamName,
         now: float,
-    ) -> Placed:
+    ) -> PlacedTicket:
         self.cancel(ticket.key)
         estimate = self.fair.estimate(ticket.account, ticket.hint)
-        self.fair.charge(ticket.account, estimate)
+        self.fair.charge_estimate(ticket.account, estimate)
         self._hold(ticket.key, HeldSlot(ticket.account, upstream, estimate), now)
         known = self.cache.sessions.get(ticket.session, upstream)
-        self.cache.note(upstream, ticket.prefix, ticket.session)
-        self.since_patient += 1
-        if self.since_patient > _PATIENT_TURN:
-            self.since_patient = 0
+        self.cache.add(upstream, ticket.prefix, ticket.session)
+        self.grants_since_starved += 1
+        if self.grants_since_starved > _GRANTS_PER_STARVED_TICKET:
+            self.grants_since_starved = 0
         self.counters.granted += 1
-        return Placed(ticket, upstream, known if known != upstream else '')
+        return PlacedTicket(ticket, upstream, known if known != upstream else '')
 
     def _hold(self, key: TicketKey, slot: HeldSlot, now: float) -> None:
         self.held[key] = slot
-        load = self.rooms.loads.get(slot.upstream)
+        load = self.capacity.loads.get(slot.upstream)
         if load is not None:
             load.held.add(key)
-            self.rooms.refresh(slot.upstream, now)
+            self.capacity.refresh(slot.upstream, now)
 
     def _retry_after(self, queue: AccountQueue) -> float:
         running = max(1, len(self.held))
-        return max(_FIRST_RETRY_AFTER, queue.length / running)
+        return max(_MIN_RETRY_AFTER_SECONDS, queue.length / running)
 
 
-def _of_attendant(
+def _keys_of(
     keys: Iterable[TicketKey],
-    attendant: Incarnation,
+    incarnation: Incarnation,
 ) -> list[TicketKey]:
-    return [key for key in keys if key[0] == attendant]
+    return [key for key in keys if key[0] == incarnation]
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -15,13 +15,13 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId
+from hitchdeck_core.ids import Address, UpstreamIncarnation
 from hitchdeck_core.quarantine.crash_detector import CrashDetector, Probe
 from hitchdeck_core.quarantine.fingerprints import fingerprint_of
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.dispatch.connections import Connections
-from hitchdeck_router.dispatch.calls import takes_connections
+from hitchdeck_edge.dispatch.connections import ConnectionPool
+from hitchdeck_router.dispatch.calls import accepts_connections
 from tests.common.scheduling import engine
 
 SECONDS = 5.0
@@ -46,23 +46,23 @@
 
 
 def of_router(address: Address) -> Probe:
-    return partial(takes_connections, address)
+    return partial(accepts_connections, address)
 
 
 def of_box(address: Address) -> Probe:
     upstream = replace(engine('e0'), address=address)
-    return partial(Connections(boot_seconds).reaches, upstream)
+    return partial(ConnectionPool(boot_seconds).is_reachable, upstream)
 
 
 @pytest.mark.parametrize('asker', [of_router, of_box])
 async def test_an_end_that_still_took_a_connection_is_found(
     asker: Callable[[Address], Probe],
 ) -> None:
-    ended: list[LifeId] = []
+    ended: list[UpstreamIncarnation] = []
     crash_detector = CrashDetector(Quarantine(boot_seconds, Signal()), ended.append)
     reaches = asker(await Ending().listen())
     crash_detector.record_broken_response(
-        LifeId('e0'), fingerprint_of(b'lethal'), reaches
+        UpstreamIncarnation('e0'), fingerprint_of(b'lethal'), reaches
     )
     async with asyncio.timeout(SECONDS):
         while not ended:
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -8,29 +8,33 @@
 
 from hitchdeck_core.errors import SettingsError
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
-from hitchdeck_core.log_output import BURST_LINES, WAITING_BYTES, BoundedOutput
-from hitchdeck_edge.dispatch.answers import end_to_end
-from hitchdeck_edge.dispatch.budget import CAUTION, RepeatBudget
+from hitchdeck_core.log_output import BURST_LINES, MAX_BUFFERED_BYTES, BoundedOutput
+from hitchdeck_edge.dispatch.budget import SAFETY_FACTOR, RetryBudget
 from hitchdeck_edge.dispatch.events import EventSplitter
-from hitchdeck_edge.links.hubs import NAMED_SECONDS, HubBook
+from hitchdeck_edge.dispatch.responses import end_to_end_headers
+from hitchdeck_edge.links.known_hubs import LEARNED_HUB_TTL_SECONDS, KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.document import RouteName
-from hitchdeck_edge.serving.gauges import UNKNOWN_SECONDS, WATCHED_SECONDS, Gauges
-from hitchdeck_edge.serving.stopping import Stopping
+from hitchdeck_edge.serving.graceful_stop import GracefulStop
+from hitchdeck_edge.serving.metrics import (
+    DEFAULT_DURATION_SECONDS,
+    MIN_OBSERVED_SECONDS,
+    EntryMetrics,
+)
 from hitchdeck_platform.settings import read_settings
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
 
 
 def test_repeats_stay_within_the_budget_of_the_fleet() -> None:
     clock = FakeClock()
-    budget = RepeatBudget(0.2, 50, 10, clock)
+    budget = RetryBudget(0.2, 50, 10, clock)
     budget.boxes = 10
     for _ in range(100):
-        budget.count(POOL)
-    taken = sum(budget.take(POOL) for _ in range(100))
-    assert taken == int((0.2 * 100 + 50 / 10) * CAUTION)
+        budget.count_request(POOL)
+    taken = sum(budget.try_spend(POOL) for _ in range(100))
+    assert taken == int((0.2 * 100 + 50 / 10) * SAFETY_FACTOR)
     clock.seconds += 11
-    assert budget.take(POOL)
+    assert budget.try_spend(POOL)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +62,7 @@
         (b'Transfer-Encoding', b'chunked'),
         (b'Server-Seal', b'kept'),
     ]
-    assert end_to_end(headers) == [(b'Server-Seal', b'kept')]
+    assert end_to_end_headers(headers) == [(b'Server-Seal', b'kept')]
 
 
 @pytest.mark.parametrize(
@@ -82,28 +86,33 @@
     refused: bool,
 ) -> None:
     clock = FakeClock()
-    stopping = Stopping(8, clock)
-    assert not stopping.refuses(100, streams=streams)
-    stopping.begin()
+    graceful_stop = GracefulStop(8, clock)
+    assert not graceful_stop.should_refuse(100, streams=streams)
+    graceful_stop.begin()
     clock.seconds += passed
-    assert stopping.refuses(longest, streams=streams) is refused
+    assert graceful_stop.should_refuse(longest, streams=streams) is refused
 
 
 def test_one_long_request_is_remembered_over_many_short_ones() -> None:
     clock = FakeClock()
-    gauges = Gauges(clock)
+    metrics = EntryMetrics(clock)
     route = RouteName('r')
-    assert gauges.longest_seconds(route) == UNKNOWN_SECONDS
-    gauges.opened(route)
-    clock.seconds += WATCHED_SECONDS + 1
+    assert metrics.longest_seconds(route) == DEFAULT_DURATION_SECONDS
+    metrics.record_admitted(route)
+    clock.seconds += MIN_OBSERVED_SECONDS + 1
     for seconds in (6, *[0.1] * 100):
-        gauges.note_duration(route, seconds)
-    assert 4 < gauges.longest_seconds(route) < UNKNOWN_SECONDS
+        metrics.record_duration(route, seconds)
+    assert 4 < metrics.longest_seconds(route) < DEFAULT_DURATION_SECONDS
 
 
 @pytest.mark.parametrize(
     ('watched', 'finished', 'longest'),
-    [(1.1, 0.4, UNKNOWN_SECONDS), (1.1, 6.0, 6.0), (9, 0.4, 5.0), (11, 0.4, 0.4)],
+    [
+        (1.1, 0.4, DEFAULT_DURATION_SECONDS),
+        (1.1, 6.0, 6.0),
+        (9, 0.4, 5.0),
+        (11, 0.4, 0.4),
+    ],
 )
 def test_what_has_ended_so_far_says_little_of_a_route_just_begun(
     watched: float, finished: float, longest: float
@@ -115,12 +124,12 @@
     grace and were cut at 8.67 s (``stopped``, then ``caller gone`` after 6.452 s).
     """
     clock = FakeClock()
-    gauges = Gauges(clock)
+    metrics = EntryMetrics(clock)
     route = RouteName('r')
-    gauges.opened(route)
+    metrics.record_admitted(route)
     clock.seconds += watched
-    gauges.note_duration(route, finished)
-    assert gauges.longest_seconds(route) == longest
+    metrics.record_duration(route, finished)
+    assert metrics.longest_seconds(route) == longest
 
 
 def test_a_slow_reader_of_the_log_costs_lines_and_never_time() -> None:
@@ -130,43 +139,43 @@
     for _ in range(BURST_LINES + 100):
         output.write(line)
         output.flush()
-    assert len(output.waiting) <= WAITING_BYTES + len(line)
+    assert len(output.buffer) <= MAX_BUFFERED_BYTES + len(line)
     assert output.dropped > 0
     os.close(reader)
     output.flush()
-    assert not output.waiting
+    assert not output.buffer
     os.close(writer)
 
 
 def test_hubs_that_nobody_names_are_tried_no_more() -> None:
     clock = FakeClock()
-    book = HubBook(BoxName('box'), 'a', [Address('s:1')], clock)
-    book.learn([Address('h:1')])
+    book = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
+    book.add_learned([Address('h:1')])
     assert book.addresses() == ['h:1', 's:1']
-    clock.seconds += NAMED_SECONDS + 1
-    book.learn([])
+    clock.seconds += LEARNED_HUB_TTL_SECONDS + 1
+    book.add_learned([])
     assert book.addresses() == ['s:1']
 
 
 def test_counts_of_requests_do_not_grow_with_time() -> None:
     clock = FakeClock()
-    budget = RepeatBudget(0.2, 50, 10, clock)
+    budget = RetryBudget(0.2, 50, 10, clock)
     for _ in range(500):
         clock.seconds += 1
-        budget.count(POOL)
+        budget.count_request(POOL)
     assert len(budget.requests[POOL]) <= 11
 
 
 def test_nothing_is_kept_for_a_scheduler_that_is_not_there() -> None:
     scheduler = scheduler_of(FakeClock(), 1)
-    book = HubBook(BoxName('box'), 'a', [], FakeClock())
+    book = KnownHubs(BoxName('box'), 'a', [], FakeClock())
     registry = scheduler.placement.registry
     link = PlacingLink('box', book, registry, 'token', scheduler.shares)
     for _ in range(50):
         ticket = link.track(0, UpstreamName('e0'), 10)
-        link.start(ticket)
-        link.fail(UpstreamName('e0'))
-        link.end(ticket)
+        link.record_start(ticket)
+        link.report_failure(UpstreamName('e0'))
+        link.record_end(ticket)
     assert not link.outbox.frame.ByteSize()
     assert not link.open
 
@@ -180,17 +189,17 @@
     """
     clock = FakeClock()
     seeds = [Address('h1:1'), Address('h2:1')]
-    book = HubBook(BoxName('box'), 'a', seeds, clock)
+    book = KnownHubs(BoxName('box'), 'a', seeds, clock)
     for address in seeds:
-        book.reach(address)
+        book.mark_reachable(address)
     first = book.scheduler()
     assert first is not None
     for _ in range(2):
-        book.distrust(first)
+        book.exclude_scheduler(first)
         clock.seconds += 0.5
     assert book.scheduler() != first
-    book.lose(first)
-    book.reach(first)
+    book.mark_unreachable(first)
+    book.mark_reachable(first)
     assert book.scheduler() == first
 
 
