--- a/packages/edge/src/hitchdeck_edge/model/adapter.py
+++ b/packages/edge/src/hitchdeck_edge/model/adapter.py
@@ -37,7 +37,8 @@
     Attributes
     ----------
     read_call
-        Decodes a request from its method, target and headers; raises ``CallError``.
+        Decodes a request from its method, target and headers; raises
+        ``MalformedRequestError``.
     forward_headers
         Returns the headers of a request to an upstream.
     read_answer
