--- a/packages/edge/src/hitchdeck_edge/model/document.py
+++ b/packages/edge/src/hitchdeck_edge/model/document.py
@@ -170,7 +170,7 @@
     for account in document.accounts:
         for key in account.keys:
             if key in seen:
-                raise DocumentError(f'account {account.name}: duplicate API key')
+                raise DocumentError(f'account {account.name}: a key stands twice')
             seen.add(key)
 
 
@@ -179,7 +179,7 @@
     for route in document.routes:
         place = (route.host, route.prefix)
         if place in places:
-            raise DocumentError(f'route {route.name}: another route has {place}')
+            raise DocumentError(f'route {route.name}: another has {place}')
         places.add(place)
         _check_route(document, route)
 
@@ -187,12 +187,12 @@
 def _check_route(document: Document, route: Route) -> None:
     for target in route.targets:
         if target.pool not in document.pools:
-            raise DocumentError(f'route {route.name}: unknown pool {target.pool}')
+            raise DocumentError(f'route {route.name}: no pool {target.pool}')
         if target.weight < 0:
-            raise DocumentError(f'route {route.name}: negative weight')
+            raise DocumentError(f'route {route.name}: a weight is negative')
     if sum(target.weight for target in route.targets) <= 0:
-        raise DocumentError(f'route {route.name}: the weights add up to 0')
+        raise DocumentError(f'route {route.name}: its weights add up to nothing')
     if route.time_limit <= 0:
-        raise DocumentError(f'route {route.name}: the time limit is not positive')
+        raise DocumentError(f'route {route.name}: its time limit is not positive')
     if route.attempts < 1:
-        raise DocumentError(f'route {route.name}: less than one attempt')
+        raise DocumentError(f'route {route.name}: it allows no attempt')
