--- a/packages/router/src/hitchdeck_router/dispatch/chat.py
+++ b/packages/router/src/hitchdeck_router/dispatch/chat.py
@@ -226,9 +226,7 @@
     except (ValueError, KeyError, TypeError) as error:
         raise UpstreamBrokenError(f'chunk is not a chunk: {error}') from error
     if attempt.engine_id and engine_id != attempt.engine_id:
-        raise UpstreamBrokenError(
-            f'chunk of {engine_id} in {attempt.engine_id}'
-        )
+        raise UpstreamBrokenError(f'chunk of {engine_id} in {attempt.engine_id}')
     attempt.engine_id = engine_id
     return chunk  # type: ignore[no-any-return]
 
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -202,9 +202,7 @@
 
     def _too_large(self) -> NotRunError:
         limit = self.context.settings.body_limit
-        return NotRunError(
-            _TOO_LARGE, 'too-large', f'body over {limit} bytes'
-        )
+        return NotRunError(_TOO_LARGE, 'too-large', f'body over {limit} bytes')
 
 
 def error_content(error: RouterError) -> dict[str, Any]:
