--- a/packages/control/src/hitchdeck_control/fleet/watch.py
+++ b/packages/control/src/hitchdeck_control/fleet/watch.py
@@ -76,8 +76,8 @@
     leader.check_leads()
     leader.usage.merge(presence.hello.incarnation, beat.usage)
     if beat.HasField('quarantine'):
-        news = decode_update(beat.quarantine, leader.now())
-        leader.quarantine.merge(news, presence.hello.router)
+        update = decode_update(beat.quarantine, leader.now())
+        leader.quarantine.merge(update, presence.hello.router)
     leader.routers.acknowledge(presence, int(beat.version), beat.leaving)
     frame = _next_frame(leader, presence, sent)
     if _may_grant_lease(leader, presence, sent):
@@ -120,9 +120,9 @@
     if sent.directory is not directory:
         frame.directory.CopyFrom(difference(sent.directory, directory))
         sent.directory = directory
-    news, sent.quarantine = leader.quarantine.update_since(sent.quarantine)
-    if news.verdicts:
-        frame.quarantine.CopyFrom(encode_update(news, leader.now()))
+    update, sent.quarantine = leader.quarantine.update_since(sent.quarantine)
+    if update.verdicts:
+        frame.quarantine.CopyFrom(encode_update(update, leader.now()))
     now = leader.now()
     if now - sent.usage_at >= _USAGE_PERIOD_SECONDS:
         frame.usage.extend(_usage_of_other_shards(leader, presence, sent))
--- a/packages/edge/src/hitchdeck_edge/hub/spread.py
+++ b/packages/edge/src/hitchdeck_edge/hub/spread.py
@@ -122,11 +122,11 @@
         for name in frame.heard:
             state.registry.hear(UpstreamName(name))
         if frame.HasField('quarantine'):
-            news = decode_update(frame.quarantine, state.quarantine.now())
-            ended = state.quarantine.merge(news, connected_box.hello.box)
+            update = decode_update(frame.quarantine, state.quarantine.now())
+            ended = state.quarantine.merge(update, connected_box.hello.box)
             # Only for crashes that are new: a box sends all it knows on each connect.
-            for life in ended:
-                state.registry.suspect(life)
+            for incarnation in ended:
+                state.registry.suspect(incarnation)
         for record in frame.suspicions:
             state.registry.merge_suspicion(decode_suspicion(record))
 
@@ -197,9 +197,9 @@
 
 
 def _add_verdicts(frame: HubFrame, sent: _Sent, quarantine: Quarantine) -> None:
-    news, sent.quarantine = quarantine.update_since(sent.quarantine)
-    if news.verdicts:
-        frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
+    update, sent.quarantine = quarantine.update_since(sent.quarantine)
+    if update.verdicts:
+        frame.quarantine.CopyFrom(encode_update(update, quarantine.now()))
 
 
 def _add_reports(
--- a/packages/edge/src/hitchdeck_edge/hub/state_file.py
+++ b/packages/edge/src/hitchdeck_edge/hub/state_file.py
@@ -173,8 +173,8 @@
     """
 
     def encode() -> bytes:
-        news, _ = quarantine.update_since(SYNC_START)
-        return encode_update(news, quarantine.now()).SerializeToString()
+        update, _ = quarantine.update_since(SYNC_START)
+        return encode_update(update, quarantine.now()).SerializeToString()
 
     def restore(payload: bytes) -> None:
         message = QuarantineNews.FromString(payload)
--- a/packages/edge/src/hitchdeck_edge/links/entry.py
+++ b/packages/edge/src/hitchdeck_edge/links/entry.py
@@ -158,9 +158,9 @@
         """Add the crashes and verdicts that a hub has not been sent yet."""
         quarantine = self.known.quarantine
         position = self.sent_positions.get(hub, SYNC_START)
-        news, self.sent_positions[hub] = quarantine.update_since(position)
-        if news.crashes or news.verdicts:
-            frame.quarantine.CopyFrom(encode_update(news, quarantine.now()))
+        update, self.sent_positions[hub] = quarantine.update_since(position)
+        if update.crashes or update.verdicts:
+            frame.quarantine.CopyFrom(encode_update(update, quarantine.now()))
 
     def _add_suspicions(self, hub: Address, frame: BoxFrame) -> None:
         """Add suspected crashes, for the hub that gets the reports to clear them.
--- a/packages/edge/src/hitchdeck_edge/links/hub_frames.py
+++ b/packages/edge/src/hitchdeck_edge/links/hub_frames.py
@@ -43,5 +43,5 @@
     for upstream in decode_upstreams(frame.upstreams):
         known.registry.merge(upstream, hub)
     if frame.HasField('quarantine'):
-        news = decode_update(frame.quarantine, known.quarantine.now())
-        known.quarantine.merge(news, hub)
+        update = decode_update(frame.quarantine, known.quarantine.now())
+        known.quarantine.merge(update, hub)
--- a/packages/edge/src/hitchdeck_edge/serving/admission.py
+++ b/packages/edge/src/hitchdeck_edge/serving/admission.py
@@ -45,13 +45,13 @@
     def __init__(
         self,
         adapter: PlatformAdapter,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         dispatcher: Dispatcher,
         graceful_stop: GracefulStop,
         now: Clock,
     ) -> None:
         self.adapter = adapter
-        self.documents = knowledge.documents
+        self.documents = fleet_state.documents
         self.dispatcher = dispatcher
         self.graceful_stop = graceful_stop
         self.now = now
--- a/packages/edge/src/hitchdeck_edge/serving/handoff.py
+++ b/packages/edge/src/hitchdeck_edge/serving/handoff.py
@@ -249,9 +249,9 @@
         self.unlogged = 0
 
 
-def _abort(pump: RelayEnd) -> None:
-    if pump.transport is not None:
-        pump.transport.abort()
+def _abort(relay_end: RelayEnd) -> None:
+    if relay_end.transport is not None:
+        relay_end.transport.abort()
 
 
 def _ignore() -> None:
--- a/packages/edge/src/hitchdeck_edge/state/fleet_state.py
+++ b/packages/edge/src/hitchdeck_edge/state/fleet_state.py
@@ -42,13 +42,13 @@
 
 def new_fleet_state(settings: EntrySettings, adapter: PlatformAdapter) -> FleetState:
     """Return the state of an entry box at its start, without any configuration."""
-    news = Signal()
-    documents = Documents(adapter.read_document, news)
-    registry = Registry(boot_seconds, news, hears_reports=False)
+    changed = Signal()
+    documents = Documents(adapter.read_document, changed)
+    registry = Registry(boot_seconds, changed, hears_reports=False)
     scheduler = new_scheduler(settings, documents, registry)
     quarantine = Quarantine(boot_seconds, Signal())
     open_work = scheduler.placement.open_work
-    evacuations = Evacuations(domain_closer(registry, documents), news)
+    evacuations = Evacuations(domain_closer(registry, documents), changed)
     return FleetState(
         documents, registry, open_work, scheduler, quarantine, evacuations
     )
--- a/packages/router/src/hitchdeck_router/fleet/link.py
+++ b/packages/router/src/hitchdeck_router/fleet/link.py
@@ -187,11 +187,11 @@
 
     def _add_quarantine_news(self, beat: RouterBeat) -> None:
         quarantine = self.fleet.quarantine
-        news, self.quarantine_position = quarantine.update_since(
+        update, self.quarantine_position = quarantine.update_since(
             self.quarantine_position
         )
-        if news.crashes or news.verdicts:
-            beat.quarantine.CopyFrom(encode_update(news, quarantine.now()))
+        if update.crashes or update.verdicts:
+            beat.quarantine.CopyFrom(encode_update(update, quarantine.now()))
 
     def _handle_frame(self, frame: ControlFrame) -> None:
         self.connected = True
@@ -207,8 +207,8 @@
             self.usage.apply(list(frame.usage), int(frame.term))
         if frame.HasField('quarantine'):
             quarantine = self.fleet.quarantine
-            news = decode_update(frame.quarantine, quarantine.now())
-            quarantine.merge(news, _LINK)
+            update = decode_update(frame.quarantine, quarantine.now())
+            quarantine.merge(update, _LINK)
         lease = frame.lease
         if frame.HasField('lease') and self.fleet.view.version >= lease.version:
             self.fleet.lease.renew(int(lease.sequence), lease.duration_ms / 1000)
