--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -21,8 +21,8 @@
 HUB = Address('10.0.0.1:1')
 ENGINE = UpstreamName('e0')
 BOXES = 24
-OWN = 5
-TOGETHER = 8
+OWN_RUNNING = 5
+TOTAL_RUNNING = 8
 
 
 def link_of(clock: FakeClock) -> EntryLink:
@@ -48,23 +48,23 @@
         RetryBudget(0.2, 50, 10, clock),
         ReliefTargets(clock),
     )
-    book = KnownHubs('box', 'a', [HUB], clock)
-    book.mark_reachable(HUB)
-    others = [Load(upstream=ENGINE, running=TOGETHER - OWN)]
-    link.stream_handlers(book).on_frame(HUB, HubFrame(boxes=BOXES, loads=others))
+    known_hubs = KnownHubs('box', 'a', [HUB], clock)
+    known_hubs.mark_reachable(HUB)
+    others = [Load(upstream=ENGINE, running=TOTAL_RUNNING - OWN_RUNNING)]
+    link.stream_handlers(known_hubs).on_frame(HUB, HubFrame(boxes=BOXES, loads=others))
     return link
 
 
 @pytest.mark.parametrize(
     ('seconds', 'running'),
     [
-        (0, TOGETHER),
-        (DIGEST_TTL_SECONDS - 0.1, TOGETHER),
+        (0, TOTAL_RUNNING),
+        (DIGEST_TTL_SECONDS - 0.1, TOTAL_RUNNING),
         # Nothing is known of the others any more: they may do as this one does.
-        (DIGEST_TTL_SECONDS + 0.1, OWN * BOXES),
+        (DIGEST_TTL_SECONDS + 0.1, OWN_RUNNING * BOXES),
     ],
 )
-def test_a_box_that_lost_its_hub_goes_by_the_last_sum_of_the_others(
+def test_a_box_without_a_hub_uses_the_last_load_digest_until_it_expires(
     seconds: float,
     running: int,
 ) -> None:
@@ -72,7 +72,7 @@
     clock = FakeClock()
     link = link_of(clock)
     open_work = link.known.open_work
-    for _ in range(OWN):
+    for _ in range(OWN_RUNNING):
         OpenWorkEntry(open_work, ENGINE, 100)
     clock.seconds += seconds
     link.on_loss(HUB)
--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -27,10 +27,10 @@
 from tests.common.asking import PATHS, ask_often, of_pool
 from tests.common.scheduling import FakeClock
 
-PAUSE = 60.0
+BACKOFF_SECONDS = 60.0
 """Seconds; longer than a test takes."""
 
-ALWAYS = 1000
+FAULT_COUNT = 1000
 
 
 @pytest.fixture
@@ -40,10 +40,10 @@
         yield running
 
 
-def turn_away(workers: list[Worker], pause: float) -> None:
+def reject_requests(workers: list[Worker], pause: float) -> None:
     for worker in workers:
         worker.pause = str(pause)
-        worker.misbehave(Fault.shed, ALWAYS)
+        worker.misbehave(Fault.shed, FAULT_COUNT)
 
 
 async def lose_scheduler(site: Site) -> None:
@@ -58,61 +58,61 @@
 
 @pytest.mark.parametrize('pool', ['llm', 'app'])
 @pytest.mark.parametrize('scheduled', [True, False])
-async def test_an_upstream_that_asked_for_a_pause_gets_nothing_until_it_is_over(
+async def test_an_upstream_in_backoff_gets_no_request_until_it_expires(
     site: Site,
     pool: str,
     scheduled: bool,
 ) -> None:
     if not scheduled:
         await lose_scheduler(site)
-    turning, *others = of_pool(site, pool)
-    turn_away([turning], PAUSE)
+    rejecting, *others = of_pool(site, pool)
+    reject_requests([rejecting], BACKOFF_SECONDS)
     async with asyncio.timeout(10):
-        while not turning.seen:
+        while not rejecting.seen:
             await ask_often(site, pool, 1, 'first')
     statuses = await ask_often(site, pool, 12, 'more')
     assert statuses == [200] * 12
-    assert len(turning.seen) == 1
+    assert len(rejecting.seen) == 1
     assert sum(len(other.seen) for other in others) >= 12
 
 
 @pytest.mark.parametrize('pool', ['llm', 'app'])
 @pytest.mark.parametrize('scheduled', [True, False])
-async def test_a_request_is_refused_at_once_while_all_upstreams_want_a_pause(
+async def test_a_request_is_refused_at_once_while_all_upstreams_are_in_backoff(
     site: Site,
     pool: str,
     scheduled: bool,
 ) -> None:
     if not scheduled:
         await lose_scheduler(site)
-    turn_away(of_pool(site, pool), PAUSE)
+    reject_requests(of_pool(site, pool), BACKOFF_SECONDS)
     assert await ask_often(site, pool, 12, 'r') == [503] * 12
     assert [len(worker.seen) for worker in of_pool(site, pool)] == [1, 1]
 
 
 @pytest.mark.parametrize('pool', ['llm', 'app'])
 @pytest.mark.parametrize('times', [1, 2])
-async def test_a_caller_is_told_when_the_first_pause_is_over(
+async def test_retry_after_states_the_earliest_backoff_expiry(
     site: Site,
     pool: str,
     times: int,
 ) -> None:
     """Callers came back after 0.1 or 0.3 s, to a box that had nothing for them."""
     first, last = of_pool(site, pool)
-    turn_away([first], PAUSE)
-    turn_away([last], PAUSE * 10)
+    reject_requests([first], BACKOFF_SECONDS)
+    reject_requests([last], BACKOFF_SECONDS * 10)
     ask = site.ask_model if pool == 'llm' else site.ask
     replies = [await ask(PATHS[pool][0], f'r{number}') for number in range(times)]
     assert [reply.code for reply in replies] == [503] * times
-    assert 1 < float(replies[-1].headers['Retry-After']) <= PAUSE
+    assert 1 < float(replies[-1].headers['Retry-After']) <= BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize('pool', ['llm', 'app'])
-async def test_an_upstream_gets_requests_again_after_its_pause(
+async def test_an_upstream_gets_requests_again_after_its_backoff(
     site: Site,
     pool: str,
 ) -> None:
-    turn_away(of_pool(site, pool), 0.3)
+    reject_requests(of_pool(site, pool), 0.3)
     assert await ask_often(site, pool, 1, 'early') == [503]
     for worker in of_pool(site, pool):
         worker.misbehave(Fault.none)
@@ -121,9 +121,9 @@
             await asyncio.sleep(0.02)
 
 
-async def test_a_pause_is_that_of_the_box_that_was_told(site: Site) -> None:
+async def test_a_backoff_applies_only_to_the_box_that_received_it(site: Site) -> None:
     workers = of_pool(site, 'app')
-    turn_away(workers, PAUSE)
+    reject_requests(workers, BACKOFF_SECONDS)
     assert await ask_often(site, 'app', 1, 'told') == [503]
     for worker in workers:
         worker.misbehave(Fault.none)
@@ -138,25 +138,25 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = site.boxes[0].admission.dispatcher.sender
-    take = sender.connections.acquire
-    told: list[str] = []
-
-    async def take_while_told(upstream: Upstream, *, fresh: bool) -> Connection:
-        connection = await take(upstream, fresh=fresh)
-        if not told:
-            told.append(upstream.name)
-            sender.backpressure.pause(upstream.name, PAUSE)
+    acquire = sender.connections.acquire
+    backed_off: list[str] = []
+
+    async def acquire_during_backoff(upstream: Upstream, *, fresh: bool) -> Connection:
+        connection = await acquire(upstream, fresh=fresh)
+        if not backed_off:
+            backed_off.append(upstream.name)
+            sender.backpressure.pause(upstream.name, BACKOFF_SECONDS)
         return connection
 
-    monkeypatch.setattr(sender.connections, 'acquire', take_while_told)
+    monkeypatch.setattr(sender.connections, 'acquire', acquire_during_backoff)
     assert await ask_often(site, pool, 1, 'r') == [200]
     seen = {worker.life: len(worker.seen) for worker in of_pool(site, pool)}
-    assert seen.pop(told[0]) == 0
+    assert seen.pop(backed_off[0]) == 0
     assert list(seen.values()) == [1]
 
 
-async def test_metrics_tell_how_many_upstreams_want_nothing(site: Site) -> None:
-    turn_away(of_pool(site, 'app'), PAUSE)
+async def test_metrics_count_the_upstreams_in_backoff(site: Site) -> None:
+    reject_requests(of_pool(site, 'app'), BACKOFF_SECONDS)
     assert await ask_often(site, 'app', 1, 'r') == [503]
     box = site.boxes[0]
     async with asyncio.timeout(10):
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ('asked', 'later', 'wants'),
+    ('asked', 'later', 'accepts'),
     [
         ([3.0], 2.9, False),
         ([3.0], 3.1, True),
@@ -180,21 +180,21 @@
         ([], 0.0, True),
     ],
 )
-def test_a_pause_ends_with_the_longest_that_was_asked_for(
+def test_a_backoff_lasts_as_long_as_the_longest_requested(
     asked: list[float],
     later: float,
-    wants: bool,
+    accepts: bool,
 ) -> None:
     clock = FakeClock()
     backpressure = Backpressure(clock)
     for seconds in asked:
         backpressure.pause(FIRST, seconds)
     clock.seconds += later
-    assert backpressure.accepts_requests(FIRST) == wants
+    assert backpressure.accepts_requests(FIRST) == accepts
     assert backpressure.accepts_requests(NEXT)
 
 
-def test_a_life_that_asked_before_it_was_known_gets_its_pause() -> None:
+def test_a_backoff_requested_before_an_incarnation_is_known_is_kept() -> None:
     """A restarted upstream answers for some time under the name of its last life."""
     clock = FakeClock()
     backpressure = Backpressure(clock)
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -52,7 +52,7 @@
     assert (NAME in cold.cold_now()) is bool(left)
 
 
-def test_what_is_assumed_outlasts_a_report_from_before() -> None:
+def test_an_assumed_cold_period_outlasts_an_earlier_report() -> None:
     clock = FakeClock()
     cold = ColdUpstreams(clock)
     cold.assume(NAME, 3.0)
@@ -77,7 +77,7 @@
     assert first.changes == seen
 
 
-def test_a_report_that_only_counts_down_is_not_passed_on() -> None:
+def test_a_report_that_only_counts_down_is_not_propagated() -> None:
     clock = FakeClock()
     registry = Registry(clock, Signal())
     registry.merge(replace(engine('e0'), cold_left=3.0), 'report')
@@ -112,7 +112,7 @@
     assert not registry.cold.cold_now()
 
 
-def test_a_scheduler_sends_a_cold_engine_what_it_bears_and_the_rest_elsewhere() -> None:
+def test_a_scheduler_limits_a_cold_engine_to_its_rate_and_uses_the_other() -> None:
     clock = FakeClock()
     scheduler = scheduler_of(clock, 2)
     offer(scheduler, 10_000_000, coldS=3.0, coldPerS=RATE)
@@ -137,7 +137,7 @@
     assert decisions[1:] == [Refusal.no_upstream, Refusal.no_upstream]
 
 
-class Answering:
+class AcceptingScheduler:
     """A link to a scheduler that has room at every engine."""
 
     def __init__(self, clock: FakeClock, choice: Choice) -> None:
@@ -149,7 +149,7 @@
         return self.choice
 
 
-async def test_a_box_asks_the_scheduler_where_it_may_send_nothing_itself() -> None:
+async def test_a_box_asks_the_scheduler_when_it_has_no_candidate_itself() -> None:
     clock = FakeClock()
     local = scheduler_of(clock, 2)
     offer(local, 10_000_000, coldS=3.0, coldPerS=RATE)
@@ -157,7 +157,7 @@
     cold.report(NAME, 9, 10.0)
     local.placement.cold_budget.rate_fraction = float
     choice = Choice(engine('e0'), 0, 0)
-    chooser = Chooser('a', local, Answering(clock, choice))
+    chooser = Chooser('a', local, AcceptingScheduler(clock, choice))
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
     call = replace(wanted(), avoid=frozenset((UpstreamName('e1'),)))
     assert not local.placement.candidates(call)
@@ -187,7 +187,7 @@
     return Decider(budget)
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_sends_per_second(times: list[float]) -> int:
     window: deque[float] = deque()
     most = 0
     for at in times:
@@ -198,7 +198,7 @@
     return most
 
 
-def played(
+def simulate_sends(
     clock: FakeClock,
     deciders: list[Decider],
     demand: Callable[[int], bool],
@@ -237,8 +237,8 @@
     def demand(step: int) -> bool:
         return on[step % len(on)]
 
-    times = played(clock, deciders, demand, 10)
-    assert most_in_a_second(times) <= RATE * OVERRUN + SLACK
+    times = simulate_sends(clock, deciders, demand, 10)
+    assert max_sends_per_second(times) <= RATE * OVERRUN + SLACK
 
 
 @pytest.mark.parametrize('boxes', [3, 12, 96, 300])
@@ -246,12 +246,12 @@
     random.seed(7)
     clock = FakeClock()
     deciders = [decider(clock, 1 / boxes) for _ in range(boxes)]
-    times = played(clock, deciders, lambda step: step % 150 < 100, 20)
+    times = simulate_sends(clock, deciders, lambda step: step % 150 < 100, 20)
     assert times
-    assert most_in_a_second(times) <= RATE * OVERRUN + SLACK
+    assert max_sends_per_second(times) <= RATE * OVERRUN + SLACK
 
 
-def test_boxes_that_attend_no_more_count_for_a_while() -> None:
+def test_disconnected_boxes_count_toward_the_fleet_size_for_a_while() -> None:
     clock = FakeClock()
     counts = [96]
     fleet = FleetSize(lambda: counts[0], clock)
--- a/tests/edge/test_directory.py
+++ b/tests/edge/test_directory.py
@@ -20,11 +20,11 @@
     without_overloaded,
 )
 
-MOST = 64
+MAX_ADDRESSES = 64
 CALLERS = [CallerKey(f'10.0.0.{number} host') for number in range(200)]
 
 
-def doors_of(sizes: dict[str, int], hubs: int = 0) -> list[ReadyEntry]:
+def entries_by_domain(sizes: dict[str, int], hubs: int = 0) -> list[ReadyEntry]:
     """Return boxes by domain, the first of each beside hubs."""
     return [
         ReadyEntry(
@@ -40,14 +40,14 @@
 
 def fleet(domains: int, size: int, hubs: int = 0) -> list[ReadyEntry]:
     """Return a fleet of domains of one size."""
-    return doors_of({f'd{number}': size for number in range(domains)}, hubs)
+    return entries_by_domain({f'd{number}': size for number in range(domains)}, hubs)
 
 
-def asked(
+def answer_for(
     entries: list[ReadyEntry], domain: str = 'd0', caller: CallerKey = CALLERS[0]
 ) -> AddressSelection:
     """Return what a caller is told."""
-    return select_addresses(caller, domain, entries, MOST)
+    return select_addresses(caller, domain, entries, MAX_ADDRESSES)
 
 
 @pytest.mark.parametrize(
@@ -55,9 +55,11 @@
     [(3, 3), (5, 40), (12, 5), (2, 60), (5, 200)],
 )
 def test_callers_are_sent_into_their_own_domain(domains: int, size: int) -> None:
-    answer = asked(fleet(domains, size), 'd1')
+    answer = answer_for(fleet(domains, size), 'd1')
     assert {one.split('.')[1] for one in answer.same_domain} == {'1'}
-    assert len(answer.same_domain) == min(size, MOST - len(answer.other_domains))
+    assert len(answer.same_domain) == min(
+        size, MAX_ADDRESSES - len(answer.other_domains)
+    )
     others = (domains - 1) * size
     assert len(answer.other_domains) == min(
         others, max(MIN_OTHER_DOMAINS, MIN_ADDRESSES - size)
@@ -68,21 +70,21 @@
 def test_every_box_of_a_large_fleet_serves_callers(domains: int) -> None:
     """The lowest 64 addresses served all callers, and two thirds stood idle."""
     entries = fleet(domains, 200 // domains)
-    told: set[Address] = set()
+    listed: set[Address] = set()
     for number in range(domains):
         for caller in CALLERS:
-            told.update(asked(entries, f'd{number}', caller).same_domain)
-    assert told == {entry.address for entry in entries}
+            listed.update(answer_for(entries, f'd{number}', caller).same_domain)
+    assert listed == {entry.address for entry in entries}
 
 
 def test_a_domain_too_large_for_an_answer_is_shared_evenly() -> None:
     entries = fleet(2, 150)
-    told: Counter[Address] = Counter()
+    listed: Counter[Address] = Counter()
     for caller in CALLERS:
-        told.update(asked(entries, caller=caller).same_domain)
-    mean = sum(told.values()) / 150
-    assert len(told) == 150
-    assert max(told.values()) <= 1.5 * mean
+        listed.update(answer_for(entries, caller=caller).same_domain)
+    mean = sum(listed.values()) / 150
+    assert len(listed) == 150
+    assert max(listed.values()) <= 1.5 * mean
 
 
 @given(st.integers(0, 149), st.sampled_from(CALLERS))
@@ -91,9 +93,9 @@
     caller: CallerKey,
 ) -> None:
     entries = fleet(2, 150)
-    before = set(asked(entries, caller=caller).same_domain)
+    before = set(answer_for(entries, caller=caller).same_domain)
     gone = entries.pop(leaver)
-    after = set(asked(entries, caller=caller).same_domain)
+    after = set(answer_for(entries, caller=caller).same_domain)
     assert before - after <= {gone.address}
     assert len(after - before) <= 1
 
@@ -102,19 +104,19 @@
     ('left', 'elsewhere'),
     [(40, 1), (20, 1), (17, 1), (10, 7), (2, 15), (0, 16)],
 )
-def test_others_carry_a_domain_that_lost_most_of_its_boxes(
+def test_other_domains_serve_a_domain_that_lost_most_of_its_boxes(
     left: int,
     elsewhere: int,
 ) -> None:
-    entries = doors_of({'d0': left, **{f'd{n}': 40 for n in range(1, 5)}})
-    answer = asked(entries)
+    entries = entries_by_domain({'d0': left, **{f'd{n}': 40 for n in range(1, 5)}})
+    answer = answer_for(entries)
     assert len(answer.same_domain) == left
     expected = elsewhere if left else 20
     assert abs(len(answer.other_domains) - expected) <= 2
 
 
 def test_callers_of_an_unknown_domain_are_sent_somewhere() -> None:
-    answer = asked(fleet(5, 40), 'nowhere')
+    answer = answer_for(fleet(5, 40), 'nowhere')
     assert not answer.same_domain
     assert len(answer.other_domains) == 20
 
@@ -130,30 +132,32 @@
     size: int,
     named: int,
 ) -> None:
-    assert len(asked(fleet(2, size, hubs=2)).same_domain) == named
+    assert len(answer_for(fleet(2, size, hubs=2)).same_domain) == named
 
 
 @pytest.mark.parametrize('size', [1, 2, 3])
 def test_the_smallest_fleets_name_every_box(size: int) -> None:
     entries = fleet(1, size)
-    assert asked(entries).addresses == sorted(entry.address for entry in entries)
+    assert answer_for(entries).addresses == sorted(entry.address for entry in entries)
 
 
-def test_no_box_is_no_address() -> None:
-    assert asked([]).addresses == []
+def test_without_boxes_the_answer_is_empty() -> None:
+    assert answer_for([]).addresses == []
 
 
 @given(
     st.dictionaries(st.sampled_from('abcdef'), st.integers(1, 90), min_size=1),
     st.sampled_from('abcdefg'),
-    st.integers(1, MOST),
+    st.integers(1, MAX_ADDRESSES),
 )
-def test_an_answer_never_holds_too_many_and_never_nothing(
+def test_an_answer_is_bounded_and_never_empty(
     sizes: dict[str, int],
     domain: str,
     most: int,
 ) -> None:
-    answer = select_addresses(CALLERS[0], domain, doors_of(sizes, hubs=1), most)
+    answer = select_addresses(
+        CALLERS[0], domain, entries_by_domain(sizes, hubs=1), most
+    )
     assert 1 <= len(answer.addresses) <= most
     assert len(answer.addresses) == len(answer.same_domain) + len(answer.other_domains)
 
@@ -180,7 +184,7 @@
         replace(entry, utilization=busy) if entry.domain == 'd0' else entry
         for entry in fleet(5, 20)
     ]
-    answer = asked(entries)
+    answer = answer_for(entries)
     assert len(answer.same_domain) == near
     assert len(answer.other_domains) == elsewhere
 
@@ -190,7 +194,7 @@
         replace(entry, utilization=0 if entry.domain == 'd1' else 0.9)
         for entry in fleet(3, 5)
     ]
-    answer = asked(entries)
+    answer = answer_for(entries)
     assert {one.split('.')[1] for one in answer.other_domains} == {'1'}
 
 
@@ -199,12 +203,12 @@
         replace(entry, utilization=1) if entry.domain == 'd0' else entry
         for entry in fleet(5, 100)
     ]
-    answer = asked(entries)
-    assert len(answer.addresses) == MOST
-    assert len(answer.same_domain) == round(MOST / 5)
+    answer = answer_for(entries)
+    assert len(answer.addresses) == MAX_ADDRESSES
+    assert len(answer.same_domain) == round(MAX_ADDRESSES / 5)
 
 
-class Pinned:
+class PinnedCallers:
     """Callers of one account that all stay with one of the boxes they are told.
 
     ``flood`` is what they ask together, as a part of what one box can serve.
@@ -219,9 +223,9 @@
         """Let each caller ask where to go, and use it."""
         self.load = Counter()
         for caller in CALLERS[:40]:
-            answer = select_addresses(caller, 'd0', self.entries, MOST)
-            told = without_overloaded(caller, answer, self.entries)
-            self.load[Address(ranked('account', told)[0])] += 1
+            answer = select_addresses(caller, 'd0', self.entries, MAX_ADDRESSES)
+            listed = without_overloaded(caller, answer, self.entries)
+            self.load[Address(ranked('account', listed)[0])] += 1
         self.entries = [
             replace(entry, utilization=0.6 * self.busy(entry) + 0.4 * entry.utilization)
             for entry in self.entries
@@ -237,7 +241,7 @@
     size: int, flood: float
 ) -> None:
     # Guards against an account that floods one box beside others that are idle.
-    play = Pinned(fleet(5, size), flood)
+    play = PinnedCallers(fleet(5, size), flood)
     shares = []
     for _ in range(20):
         play.ask_again()
@@ -249,17 +253,17 @@
     assert sum(shares[10:]) / 10 <= most
 
 
-def test_boxes_that_are_all_alike_are_told_to_everybody() -> None:
+def test_equally_busy_boxes_are_listed_for_every_caller() -> None:
     entries = [replace(entry, utilization=0.7) for entry in fleet(2, 20)]
     for caller in CALLERS:
-        answer = asked(entries, caller=caller)
+        answer = answer_for(entries, caller=caller)
         assert without_overloaded(caller, answer, entries) == answer.addresses
 
 
 @pytest.mark.parametrize('size', [1, 2, 3])
-def test_the_last_boxes_are_told_however_busy_they_are(size: int) -> None:
+def test_the_last_boxes_are_listed_however_busy_they_are(size: int) -> None:
     entries = fleet(1, size)
     entries[0] = replace(entries[0], utilization=1)
     for caller in CALLERS:
-        answer = asked(entries, caller=caller)
+        answer = answer_for(entries, caller=caller)
         assert without_overloaded(caller, answer, entries) == answer.addresses
--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -116,7 +116,7 @@
     await until(closed_everywhere(site, set()))
 
 
-class Bad(NamedTuple):
+class InvalidCall(NamedTuple):
     """A call that is refused, and the status that says why."""
 
     method: str
@@ -126,42 +126,42 @@
 
 
 @pytest.mark.parametrize(
-    'bad',
+    'invalid',
     [
-        Bad('POST', '/api/evacuations/nowhere', None, 404),
-        Bad('DELETE', '/api/evacuations/nowhere', None, 404),
-        Bad('POST', '/api/evacuations/a', '{"active": true}', 400),
-        Bad('PUT', '/api/evacuations/a', None, 405),
-        Bad('GET', '/api/evacuations/a', None, 405),
-        Bad('POST', '/api/evacuations/', None, 404),
+        InvalidCall('POST', '/api/evacuations/nowhere', None, 404),
+        InvalidCall('DELETE', '/api/evacuations/nowhere', None, 404),
+        InvalidCall('POST', '/api/evacuations/a', '{"active": true}', 400),
+        InvalidCall('PUT', '/api/evacuations/a', None, 405),
+        InvalidCall('GET', '/api/evacuations/a', None, 405),
+        InvalidCall('POST', '/api/evacuations/', None, 404),
     ],
 )
 async def test_a_call_that_makes_no_sense_is_refused_and_changes_nothing(
-    site: Site, bad: Bad
+    site: Site, invalid: InvalidCall
 ) -> None:
     control = site.hubs[0].settings.control_listen
-    reply = await site.call(bad.method, control, bad.path, bad.body)
-    assert reply.code == bad.status
+    reply = await site.call(invalid.method, control, invalid.path, invalid.body)
+    assert reply.code == invalid.status
     assert not site.hubs[0].state.evacuations.edition
 
 
-def machine_of(lists: list[EvacuationList]) -> GroupStateMachine:
+def state_machine(lists: list[EvacuationList]) -> GroupStateMachine:
     return GroupStateMachine(lambda _version, _body: None, lists.append)
 
 
-def command(domain: str, *, active: bool, seen: int) -> bytes:
+def encode_order(domain: str, *, active: bool, seen: int) -> bytes:
     message = EvacuationOrder(domain=domain, active=active, seen_edition=seen)
     return GroupEntry(order=message).SerializeToString()
 
 
 def test_a_delayed_repeat_does_not_undo_a_later_order() -> None:
     lists: list[EvacuationList] = []
-    machine = machine_of(lists)
-    assert machine.apply(command('a', active=True, seen=0))
-    assert machine.apply(command('a', active=False, seen=1))
-    assert not machine.apply(command('a', active=True, seen=0))
+    machine = state_machine(lists)
+    assert machine.apply(encode_order('a', active=True, seen=0))
+    assert machine.apply(encode_order('a', active=False, seen=1))
+    assert not machine.apply(encode_order('a', active=True, seen=0))
     assert not evacuated_domains(machine.orders)
-    assert machine.apply(command('a', active=True, seen=2))
+    assert machine.apply(encode_order('a', active=True, seen=2))
     assert evacuated_domains(machine.orders) == {'a'}
     assert [one.edition for one in lists] == [1, 2, 3]
 
@@ -188,15 +188,15 @@
 def test_accepted_orders_hold_until_a_later_one_in_any_interleaving(
     steps: list[Step], restored_at: int
 ) -> None:
-    machine = machine_of([])
+    machine = state_machine([])
     model: dict[str, bool] = {}
     changed_at: dict[str, int] = {}
     for number, (domain, active, lag) in enumerate(steps):
         if number == restored_at:
-            dumped, machine = machine.dump(), machine_of([])
+            dumped, machine = machine.dump(), state_machine([])
             machine.load(dumped)
         seen = max(0, machine.edition - lag)
-        accepted = machine.apply(command(domain, active=active, seen=seen))
+        accepted = machine.apply(encode_order(domain, active=active, seen=seen))
         stale = changed_at.get(domain, 0) > seen
         assert accepted == (model.get(domain, False) == active or not stale)
         if accepted and model.get(domain, False) != active:
@@ -209,11 +209,11 @@
 @given(order=st.permutations(range(6)))
 def test_processes_agree_whatever_order_editions_arrive_in(order: list[int]) -> None:
     lists: list[EvacuationList] = []
-    machine = machine_of(lists)
+    machine = state_machine(lists)
     for number in range(6):
         domain = DOMAINS[number % 2]
         active = number % 4 < 2
-        machine.apply(command(domain, active=active, seen=machine.edition))
+        machine.apply(encode_order(domain, active=active, seen=machine.edition))
     closed: list[frozenset[str]] = []
     evacuations = Evacuations(closed.append, Signal())
     for number in order:
@@ -229,7 +229,7 @@
     )
 
 
-def test_a_closed_domain_is_left_out_of_what_serves_until_it_is_reopened() -> None:
+def test_a_closed_domain_serves_nothing_until_it_is_reopened() -> None:
     registry = Registry(FakeClock(), Signal())
     for name, domain in (('e0', 'a'), ('e1', 'b')):
         registry.merge(upstream(name, domain), 'test')
--- a/tests/edge/test_full_disks.py
+++ b/tests/edge/test_full_disks.py
@@ -46,7 +46,7 @@
         assert (await site.read_surely())['version'] == 3  # type: ignore[index]
 
 
-async def test_a_hub_whose_disk_failed_for_good_says_so(
+async def test_a_hub_reports_a_permanent_disk_failure(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -38,7 +38,7 @@
 
 WAIT_SECONDS = 15.0
 SHORT_SECONDS = 0.1
-LOST = (OSError, HTTPStreamClosedError)
+CONNECTION_LOST = (OSError, HTTPStreamClosedError)
 
 
 @pytest.fixture
@@ -57,14 +57,14 @@
             await asyncio.sleep(0.02)
 
 
-def hand_on(site: Site) -> tuple[EntryBox, EntryBox]:
+def enable_handoff(site: Site) -> tuple[EntryBox, EntryBox]:
     """Let the first box know of the second; return both."""
     first, second = site.boxes
     first.caller_server.handoff.targets.offer([second.settings.relief_listen or ''])
     return first, second
 
 
-def far_ends(box: EntryBox) -> list[TargetEnd]:
+def target_ends(box: EntryBox) -> list[TargetEnd]:
     return [one for one in box.caller_server.handoff.open if isinstance(one, TargetEnd)]
 
 
@@ -72,8 +72,8 @@
     return box.admission.metrics.outcomes
 
 
-async def test_requests_that_are_handed_on_are_served_elsewhere(site: Site) -> None:
-    first, second = hand_on(site)
+async def test_requests_that_are_handed_off_are_served_elsewhere(site: Site) -> None:
+    first, second = enable_handoff(site)
     for number in range(4):
         reply = await site.ask_model('/s/x', f's{number}')
         assert reply.code == 200
@@ -85,7 +85,7 @@
     assert first.caller_server.handoff.handed_off == 8
 
 
-async def test_a_box_out_of_reach_is_passed_by_and_the_request_served(
+async def test_an_unreachable_target_is_skipped_and_the_request_served(
     site: Site,
 ) -> None:
     first, second = site.boxes
@@ -97,10 +97,10 @@
     assert first.caller_server.handoff.targets.choose() is None
 
 
-async def test_a_caller_that_leaves_ends_its_request_at_the_other_box(
+async def test_a_disconnecting_caller_cancels_its_request_at_the_target(
     site: Site,
 ) -> None:
-    first, second = hand_on(site)
+    first, second = enable_handoff(site)
     for worker in site.workers:
         worker.gap = 0.5
     host, port = first.settings.listen.split(':')
@@ -112,20 +112,20 @@
     await until(lambda: not first.caller_server.handoff.open)
 
 
-async def test_a_box_that_stops_waits_for_what_it_relays(site: Site) -> None:
-    first, _ = hand_on(site)
+async def test_a_stopping_box_waits_for_the_connections_it_relays(site: Site) -> None:
+    first, _ = enable_handoff(site)
     for worker in site.workers:
         worker.gap = 0.1
     asking = asyncio.create_task(site.ask_model('/once/x', 'slow'))
-    await until(lambda: len(far_ends(first)) == 1)
-    sock = far_ends(first)[0].transport.get_extra_info('socket')
+    await until(lambda: len(target_ends(first)) == 1)
+    sock = target_ends(first)[0].transport.get_extra_info('socket')
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     await first.drain()
     await first.stop()
     assert (await asking).code == 200
 
 
-async def test_nothing_is_sent_to_a_box_that_stands_still(
+async def test_nothing_is_sent_to_a_target_that_does_not_greet(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', SHORT_SECONDS)
@@ -139,7 +139,7 @@
             assert not accepted.recv(1)
 
 
-async def test_callers_do_not_wait_for_a_box_that_has_stopped_to_answer(
+async def test_callers_do_not_wait_for_a_target_that_stopped_answering(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, _ = site.boxes
@@ -150,10 +150,10 @@
         accepted, _ = await asyncio.to_thread(frozen.accept)
         with accepted:
             accepted.send(GREETING)
-            await until(lambda: len(far_ends(first)) == 1)
+            await until(lambda: len(target_ends(first)) == 1)
             monkeypatch.setattr(handoff, 'CONNECT_SECONDS', SHORT_SECONDS)
             assert (await site.ask('/u/x', 'next')).code == 200
-            with pytest.raises(LOST):
+            with pytest.raises(CONNECTION_LOST):
                 await asyncio.wait_for(asking, WAIT_SECONDS)
     assert not first.caller_server.handoff.open
 
@@ -170,11 +170,11 @@
 @pytest.mark.parametrize(
     ('busy', 'chance'), [(0, 0), (HANDOFF_START, 0), (HANDOFF_FULL, 1), (1, 1)]
 )
-def test_connections_are_handed_on_by_utilization(busy: float, chance: int) -> None:
+def test_connections_are_handed_off_by_utilization(busy: float, chance: int) -> None:
     assert sum(should_hand_off(busy) for _ in range(50)) == 50 * chance
 
 
-def test_boxes_that_nobody_names_any_more_are_not_used() -> None:
+def test_targets_expire_when_no_hub_lists_them() -> None:
     clock = FakeClock()
     targets = ReliefTargets(clock)
     assert targets.choose() is None
@@ -191,7 +191,7 @@
     assert targets.choose() is None
 
 
-def attending(
+def connect_box(
     connected_boxes: ConnectedBoxes, name: str, domain: str, busy: float
 ) -> ConnectedBox:
     hello = Hello(
@@ -204,14 +204,14 @@
     return connected_box
 
 
-def test_a_busy_box_is_told_of_the_idlest_of_its_domain() -> None:
+def test_a_busy_box_receives_the_idlest_targets_of_its_domain() -> None:
     connected_boxes = ConnectedBoxes(FakeClock(), 'a')
     for number in range(20):
-        attending(connected_boxes, f'a{number}', 'a', number / 100)
-    attending(connected_boxes, 'full', 'a', RELIEF_TARGET_UTILIZATION + 0.1)
-    attending(connected_boxes, 'far', 'b', 0)
-    calm = attending(connected_boxes, 'calm', 'a', RELIEF_UTILIZATION)
-    busy = attending(connected_boxes, 'busy', 'a', RELIEF_UTILIZATION + 0.1)
+        connect_box(connected_boxes, f'a{number}', 'a', number / 100)
+    connect_box(connected_boxes, 'full', 'a', RELIEF_TARGET_UTILIZATION + 0.1)
+    connect_box(connected_boxes, 'far', 'b', 0)
+    calm = connect_box(connected_boxes, 'calm', 'a', RELIEF_UTILIZATION)
+    busy = connect_box(connected_boxes, 'busy', 'a', RELIEF_UTILIZATION + 0.1)
     assert not connected_boxes.relief_targets_for(calm)
     relief = connected_boxes.relief_targets_for(busy)
     assert relief == [f'a{number}:2' for number in range(MAX_RELIEF_TARGETS)]
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -156,7 +156,7 @@
     assert await site.read_surely() == document(9)
 
 
-async def test_a_hub_at_another_address_takes_the_place_of_a_lost_one(
+async def test_a_hub_at_another_address_replaces_a_lost_one(
     site: Site,
     tmp_path: Path,
 ) -> None:
@@ -201,7 +201,7 @@
         await site.stop()
 
 
-async def test_word_of_a_leaving_upstream_reaches_boxes_by_any_hub(site: Site) -> None:
+async def test_a_departure_reported_to_any_hub_reaches_all_boxes(site: Site) -> None:
     for number, worker in enumerate(site.workers[:3]):
         await site.tell(worker, 2, 'draining', hub=number)
 
@@ -229,19 +229,19 @@
     await until(lambda: len(hub.state.registry.records) == 4)
 
 
-async def test_callers_are_told_the_boxes_that_are_ready(site: Site) -> None:
+async def test_the_directory_lists_the_ready_boxes(site: Site) -> None:
     hub = site.hubs[0]
 
-    async def told() -> list[str]:
+    async def listed() -> list[str]:
         path = '/api/resolve?name=x&zone=a&region=r'
         reply = await site.call('GET', hub.settings.directory_listen, path)
         return list(json.loads(reply.body)['addresses']) if reply.code == 200 else []
 
     async with asyncio.timeout(WAIT_SECONDS):
-        while len(await told()) < 2:
+        while len(await listed()) < 2:
             await asyncio.sleep(0.05)
         site.boxes[0].link.announce(ready=False)
-        while await told() != [site.boxes[1].settings.listen]:
+        while await listed() != [site.boxes[1].settings.listen]:
             await asyncio.sleep(0.02)
 
 
@@ -262,20 +262,20 @@
 
 
 @pytest.mark.parametrize(
-    ('domain', 'seconds', 'told'),
+    ('domain', 'seconds', 'listed'),
     [('a', 1.4, True), ('a', 1.6, False), ('b', 2.9, True), ('b', 3.1, False)],
 )
-def test_a_box_that_says_nothing_is_left_out_after_three_frames(
+def test_a_silent_box_is_left_out_after_three_frames(
     domain: str,
     seconds: float,
-    told: bool,
+    listed: bool,
 ) -> None:
     clock = FakeClock()
     connected_boxes = ConnectedBoxes(clock, 'a')
     hello = Hello(box='m1', domain=domain, entry_address='10.0.0.1:8')
     connected_boxes.record_frame(connected_boxes.register(hello), BoxFrame(ready=True))
     clock.seconds += seconds
-    assert bool(connected_boxes.ready_entries()) == told
+    assert bool(connected_boxes.ready_entries()) == listed
 
 
 def upstream(name: str, sequence: int, phase: Phase = Phase.serving) -> Upstream:
@@ -309,7 +309,7 @@
     assert registry.records[UpstreamName('one')].phase is phase
 
 
-def test_a_late_report_of_an_earlier_life_does_not_end_the_present_one() -> None:
+def test_a_late_report_of_an_earlier_incarnation_does_not_end_the_current_one() -> None:
     registry = Registry(boot_seconds, Signal())
     registry.merge(upstream('new', 1), 'test')
     registry.merge(upstream('old', 9), 'test')
@@ -356,7 +356,7 @@
     ],
     ids=['own-domain', 'other-domain', 'other-domain-reports-here', 'hub'],
 )
-def test_news_goes_at_once_to_those_who_hear_it_from_no_nearer_hub(
+def test_updates_go_at_once_to_boxes_without_a_nearer_hub(
     hello: Hello, *, reports: bool, at_once: bool
 ) -> None:
     connected_boxes = ConnectedBoxes(FakeClock(), 'a')
@@ -365,7 +365,7 @@
     assert connected_boxes.gets_updates_at_once(connected_box) is at_once
 
 
-async def test_a_burst_of_news_reaches_a_box_in_few_frames(site: Site) -> None:
+async def test_a_burst_of_updates_reaches_a_box_in_few_frames(site: Site) -> None:
     accepted: list[int] = []
     link = site.boxes[0].link
     take = link._apply_frame
--- a/tests/edge/test_leaving_answers.py
+++ b/tests/edge/test_leaving_answers.py
@@ -42,7 +42,7 @@
     'fault',
     [Fault.none, Fault.shed, Fault.error, Fault.cut, Fault.stale, Fault.unsealed],
 )
-async def test_an_upstream_that_says_it_leaves_gets_nothing_more(
+async def test_an_upstream_that_announces_its_drain_gets_no_more_requests(
     site: Site,
     pool: str,
     scheduled: bool,
@@ -50,31 +50,31 @@
 ) -> None:
     if not scheduled:
         await site.kill_hub(site.hubs[0])
-    leaver, other = of_pool(site, pool)
-    leaver.leaving = True
-    leaver.misbehave(fault)
-    await ask_until_seen(site, leaver)
+    draining, other = of_pool(site, pool)
+    draining.leaving = True
+    draining.misbehave(fault)
+    await ask_until_seen(site, draining)
     statuses = await ask_often(site, pool, 12, 'more')
     assert statuses == [200] * 12
-    assert len(leaver.seen) == 1
+    assert len(draining.seen) == 1
     assert len(other.seen) >= 12
 
 
-async def test_reports_of_before_do_not_bring_a_leaving_upstream_back(
+async def test_later_reports_do_not_reactivate_a_draining_upstream(
     site: Site,
 ) -> None:
-    leaver, _ = of_pool(site, 'app')
-    leaver.leaving = True
-    await ask_until_seen(site, leaver)
+    draining, _ = of_pool(site, 'app')
+    draining.leaving = True
+    await ask_until_seen(site, draining)
     # It reports itself as serving, later than its answer.
-    await site.tell(leaver, leaver.sequence + 5)
+    await site.tell(draining, draining.sequence + 5)
     await site.start_worker('p3', 'app')
     await site.settle()
     assert await ask_often(site, 'app', 12, 'more') == [200] * 12
-    assert len(leaver.seen) == 1
+    assert len(draining.seen) == 1
 
 
-async def test_what_another_upstream_says_at_an_address_is_not_taken_for_its_word(
+async def test_an_answer_of_another_upstream_at_the_address_is_ignored(
     site: Site,
 ) -> None:
     """An address may have gone to an upstream that leaves; it answers 421."""
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize('earlier', [True, False])
-def test_the_next_life_of_an_upstream_that_left_is_sent_requests(
+def test_the_next_incarnation_of_a_drained_upstream_gets_requests(
     earlier: bool,
 ) -> None:
     left, newer = UpstreamName('e0/1'), UpstreamName('e0/2')
--- a/tests/edge/test_lethal_requests.py
+++ b/tests/edge/test_lethal_requests.py
@@ -22,7 +22,7 @@
 from tests.common.scheduling import engine
 
 LETHAL = b'a body under which engines end'
-ENOUGH = 3
+CRASHES_TO_QUARANTINE = 3
 UPSTREAMS = 8
 SPREAD_SECONDS = 1.0
 
@@ -56,39 +56,39 @@
     await site.settle()
 
 
-def ended(site: Site) -> int:
+def crash_count(site: Site) -> int:
     return sum(worker.ended for worker in site.workers)
 
 
-async def repeat_until_ended(site: Site, path: str, enough: int) -> None:
+async def repeat_until_crashed(site: Site, path: str, crashes: int) -> None:
     attempts = 0
     async with asyncio.timeout(20):
-        while ended(site) < enough:
+        while crash_count(site) < crashes:
             box = attempts % len(site.boxes)
             await send(site, box, path, f'first-{attempts}', LETHAL.decode())
             attempts += 1
 
 
 @pytest.mark.parametrize('path', ['/s/x', '/once/x', '/u/x'])
-async def test_a_repeat_reaches_no_upstream_once_three_have_ended(
+async def test_a_retry_reaches_no_upstream_once_three_have_crashed(
     path: str, tmp_path: Path
 ) -> None:
     async with running_site(tmp_path, boxes=3) as site:
         await add_upstreams(site)
-        await repeat_until_ended(site, path, ENOUGH)
+        await repeat_until_crashed(site, path, CRASHES_TO_QUARANTINE)
         await asyncio.sleep(SPREAD_SECONDS)
-        ended_before = ended(site)
+        crashes_before = crash_count(site)
         codes = [
             await send(site, number % 3, path, f'later-{number}', LETHAL.decode())
             for number in range(6)
         ]
         assert codes == [503] * 6
-        assert ended(site) == ended_before
+        assert crash_count(site) == crashes_before
         assert await send(site, 0, path, 'sound', 'another body') == 200
 
 
 @pytest.mark.parametrize(('lost', 'reached'), [(0, True), (1, True), (2, False)])
-async def test_one_lost_packet_does_not_make_an_upstream_ended(
+async def test_one_lost_packet_does_not_mark_an_upstream_as_crashed(
     lost: int,
     reached: bool,
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -31,8 +31,8 @@
 NAME = 'e0'
 POOL = PoolName('llm')
 PERIOD = 1.2
-FIRST = 1_700_000_000_000
-SECOND = FIRST + 9_000
+FIRST_START_MS = 1_700_000_000_000
+SECOND_START_MS = FIRST_START_MS + 9_000
 OLD = '10.0.0.1:80'
 NEW = '10.0.0.2:80'
 
@@ -41,14 +41,14 @@
     born: int | None, sequence: int, address: str = OLD, **more: object
 ) -> Upstream:
     """Return a report as it comes to a hub's door."""
-    said = {} if born is None else {'born': born}
+    start = {} if born is None else {'born': born}
     body = {
         'service': POOL,
         'address': address,
         'slots': 4,
         'state': 'ready',
         'sequence': sequence,
-        **said,
+        **start,
         **more,
     }
     return decode_upstream(NAME, body)
@@ -63,7 +63,7 @@
         self.liveness = Liveness(self.registry, self.clock, PERIOD)
         self.placement = Placement(self.registry, OpenWorkTable(self.clock))
 
-    def hear(self, *reports: Upstream) -> None:
+    def receive(self, *reports: Upstream) -> None:
         for one in reports:
             self.liveness.report(one)
 
@@ -84,64 +84,91 @@
 @pytest.mark.parametrize(
     'case',
     [
-        Case((report(FIRST, 50), report(SECOND, 1, NEW)), [NEW]),
+        Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW)), [NEW]),
         # A late report of the earlier life, whatever it says.
-        Case((report(SECOND, 1, NEW), report(FIRST, 51)), [NEW]),
-        Case((report(SECOND, 1, NEW), report(FIRST, 51, state='draining')), [NEW]),
-        Case((report(FIRST, 50), report(SECOND, 1, NEW), report(FIRST, 51)), [NEW]),
+        Case((report(SECOND_START_MS, 1, NEW), report(FIRST_START_MS, 51)), [NEW]),
         Case(
-            (report(SECOND, 2, NEW, state='draining'), report(FIRST, 51)),
+            (
+                report(SECOND_START_MS, 1, NEW),
+                report(FIRST_START_MS, 51, state='draining'),
+            ),
+            [NEW],
+        ),
+        Case(
+            (
+                report(FIRST_START_MS, 50),
+                report(SECOND_START_MS, 1, NEW),
+                report(FIRST_START_MS, 51),
+            ),
+            [NEW],
+        ),
+        Case(
+            (
+                report(SECOND_START_MS, 2, NEW, state='draining'),
+                report(FIRST_START_MS, 51),
+            ),
             [],
         ),
         # A promise that was given for the earlier life binds that one only.
-        Case((report(FIRST, 50, state='draining'), report(SECOND, 1, NEW)), [NEW]),
+        Case(
+            (
+                report(FIRST_START_MS, 50, state='draining'),
+                report(SECOND_START_MS, 1, NEW),
+            ),
+            [NEW],
+        ),
         # At its old address, as a process that is started again.
-        Case((report(FIRST, 50), report(SECOND, 1)), [OLD]),
+        Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1)), [OLD]),
         # Upstreams that do not say when they started.
         Case((report(None, 5), report(None, 4, NEW)), [OLD]),
-        Case((report(None, 5), report(SECOND, 1, NEW)), [NEW]),
+        Case((report(None, 5), report(SECOND_START_MS, 1, NEW)), [NEW]),
     ],
 )
-def test_the_later_life_counts_whatever_its_sequence(case: Case) -> None:
+def test_the_later_incarnation_wins_whatever_its_sequence(case: Case) -> None:
     hub = Hub()
-    hub.hear(*case.heard)
+    hub.receive(*case.heard)
     assert hub.used() == case.used
 
 
-def test_a_departure_binds_the_life_that_left() -> None:
+def test_a_departure_applies_to_the_incarnation_that_left() -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50))
+    hub.receive(report(FIRST_START_MS, 50))
     hub.liveness.end(NAME)
-    hub.hear(report(FIRST, 51))
+    hub.receive(report(FIRST_START_MS, 51))
     assert not hub.used()
-    hub.hear(report(SECOND, 1, NEW))
+    hub.receive(report(SECOND_START_MS, 1, NEW))
     assert hub.used() == [NEW]
 
 
 @pytest.mark.parametrize(
     ('born', 'used'),
-    [(0, []), (SECOND, []), (FIRST, [NEW]), (SECOND + 1, [])],
+    [
+        (0, []),
+        (SECOND_START_MS, []),
+        (FIRST_START_MS, [NEW]),
+        (SECOND_START_MS + 1, []),
+    ],
 )
-def test_a_departure_that_names_a_life_ends_that_one(
+def test_a_departure_that_names_an_incarnation_ends_that_one(
     born: int, used: list[str]
 ) -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50), report(SECOND, 1, NEW))
+    hub.receive(report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW))
     hub.liveness.end(NAME, born)
-    hub.hear(report(SECOND, 2, NEW))
+    hub.receive(report(SECOND_START_MS, 2, NEW))
     assert hub.used() == used
 
 
-def test_a_life_that_seemed_earlier_leaves_as_any_other() -> None:
+def test_a_seemingly_earlier_incarnation_can_depart() -> None:
     hub = Hub()
-    hub.hear(report(SECOND, 50))
-    report_for(hub, SETTLED_SECONDS + PERIOD, FIRST, NEW)
+    hub.receive(report(SECOND_START_MS, 50))
+    report_periodically(hub, SETTLED_SECONDS + PERIOD, FIRST_START_MS, NEW)
     assert hub.used() == [NEW]
-    hub.liveness.end(NAME, FIRST)
+    hub.liveness.end(NAME, FIRST_START_MS)
     assert not hub.used()
 
 
-def learn_memory(hub: Hub, name: UpstreamName) -> None:
+def learn_prefixes(hub: Hub, name: UpstreamName) -> None:
     hub.placement.prefix_cache.record_prompt(name, prompt())
 
 
@@ -163,14 +190,14 @@
 
 @pytest.mark.parametrize(
     'learn',
-    [learn_memory, learn_failures, learn_slowness, learn_load],
+    [learn_prefixes, learn_failures, learn_slowness, learn_load],
 )
-def test_nothing_learned_of_a_life_is_held_against_the_next(learn: Learn) -> None:
+def test_nothing_learned_of_an_incarnation_applies_to_the_next(learn: Learn) -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50))
+    hub.receive(report(FIRST_START_MS, 50))
     before = hub.names()[0]
     learn(hub, before)
-    hub.hear(report(SECOND, 1))
+    hub.receive(report(SECOND_START_MS, 1))
     after = hub.names()[0]
     placement = hub.placement
     assert placement.prefix_cache.uncached(after, prompt()) == prompt().tokens
@@ -183,16 +210,16 @@
 @given(
     st.permutations(
         [
-            report(FIRST, 3),
-            report(FIRST, 4, state='draining'),
-            report(SECOND, 1, NEW),
-            report(SECOND, 2, NEW),
-            report(FIRST, 5),
+            report(FIRST_START_MS, 3),
+            report(FIRST_START_MS, 4, state='draining'),
+            report(SECOND_START_MS, 1, NEW),
+            report(SECOND_START_MS, 2, NEW),
+            report(FIRST_START_MS, 5),
         ],
     ),
     st.lists(st.integers(0, 4), max_size=6),
 )
-def test_all_that_hear_of_both_lives_end_alike(
+def test_processes_that_receive_both_incarnations_converge(
     order: list[Upstream],
     again: list[int],
 ) -> None:
@@ -205,7 +232,7 @@
     assert registry.serving(POOL)[0].sequence == 2
 
 
-async def test_nothing_waits_for_a_life_that_another_address_replaced(
+async def test_requests_do_not_wait_for_an_incarnation_replaced_elsewhere(
     tmp_path: Path,
 ) -> None:
     async with running_site(tmp_path) as site:
@@ -216,7 +243,7 @@
         before.ended = True
         for worker in site.workers:
             worker.misbehave(Fault.none, 0)
-        await site.start_worker(before.name, 'llm', born=SECOND)
+        await site.start_worker(before.name, 'llm', born=SECOND_START_MS)
         reply = await asked
     assert reply.code == 200
     assert sum(worker.ran.count('r1') for worker in site.workers) == 2
@@ -231,11 +258,13 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_life_is_used_and_named_as_it_reports_itself(tmp_path: Path) -> None:
+async def test_an_incarnation_is_used_under_its_reported_instance(
+    tmp_path: Path,
+) -> None:
     async with running_site(tmp_path) as site:
         for worker in list(site.workers):
             await worker.end()
-            await site.start_worker(worker.name, worker.pool, born=SECOND)
+            await site.start_worker(worker.name, worker.pool, born=SECOND_START_MS)
         await site.settle()
         reply = await site.ask('/u/x', 'r1')
     seen = [one for worker in site.workers for one in worker.seen]
@@ -247,39 +276,42 @@
 """More than a clock that went back is believed after."""
 
 
-def report_for(hub: Hub, seconds: float, born: int, address: str) -> None:
+def report_periodically(hub: Hub, seconds: float, born: int, address: str) -> None:
     """Let a life report itself every period, and the others be silent."""
     sequence = 1
     until = hub.clock.seconds + seconds
     while hub.clock.seconds < until:
-        hub.hear(report(born, sequence, address))
+        hub.receive(report(born, sequence, address))
         hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
         sequence += 1
 
 
-def test_a_life_that_seems_earlier_counts_once_the_later_one_is_silent() -> None:
+def test_a_seemingly_earlier_incarnation_counts_once_the_later_is_silent() -> None:
     # The machine's clock was set back between the two starts.
     hub = Hub()
-    hub.hear(report(SECOND, 50))
-    report_for(hub, PERIOD, FIRST, NEW)
+    hub.receive(report(SECOND_START_MS, 50))
+    report_periodically(hub, PERIOD, FIRST_START_MS, NEW)
     assert hub.used() == [OLD]
-    report_for(hub, SETTLED_SECONDS, FIRST, NEW)
+    report_periodically(hub, SETTLED_SECONDS, FIRST_START_MS, NEW)
     assert hub.used() == [NEW]
 
 
-def test_a_life_that_seems_earlier_does_not_count_beside_one_that_reports() -> None:
+def test_a_seemingly_earlier_incarnation_is_ignored_beside_a_later_one() -> None:
     hub = Hub()
     for sequence in range(20):
-        hub.hear(report(SECOND, sequence, NEW), report(FIRST, sequence, OLD))
+        hub.receive(
+            report(SECOND_START_MS, sequence, NEW),
+            report(FIRST_START_MS, sequence, OLD),
+        )
         hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
     assert hub.used() == [NEW]
 
 
-def test_an_upstream_is_forgotten_with_its_last_life() -> None:
+def test_an_upstream_expires_with_its_last_incarnation() -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50), report(SECOND, 1, NEW))
+    hub.receive(report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW))
     hub.liveness.end(NAME)
     hub.clock.seconds += GONE_RETENTION_SECONDS + 1
     hub.placement.forget_gone()
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -23,7 +23,7 @@
     return scheduler
 
 
-def chosen(scheduler: Scheduler, one: PlacementQuery) -> str:
+def outcome_of(scheduler: Scheduler, one: PlacementQuery) -> str:
     """Return where a request goes, or why it is refused."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
@@ -31,10 +31,10 @@
     return decision.upstream.name
 
 
-def long_one(scheduler: Scheduler) -> PlacementQuery:
+def long_query(scheduler: Scheduler) -> PlacementQuery:
     """Return a long request whose subject e0 is taken to hold."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
-    return next(one for one in subjects if chosen(scheduler, one) == FIRST)
+    return next(one for one in subjects if outcome_of(scheduler, one) == FIRST)
 
 
 def flooded(scheduler: Scheduler) -> str:
@@ -50,19 +50,19 @@
 
 def nearest(scheduler: Scheduler) -> str:
     scheduler.add_open(('box', 1), FIRST, 100)
-    return chosen(scheduler, wanted(tokens=10))
+    return outcome_of(scheduler, wanted(tokens=10))
 
 
 def failed(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.placement.health.record_failure(FIRST, 'test')
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def slow(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.placement.health.record(FIRST).slowness = 30
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def crowded(scheduler: Scheduler) -> str:
@@ -72,22 +72,22 @@
 
 
 def cached(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     assert one.prompt is not None
     scheduler.placement.prefix_cache.record_prompt(UpstreamName('e1'), one.prompt)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def busy_with_the_subject(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.add_open(('box', 1), FIRST, 40_000)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def worth_the_wait(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.add_open(('box', 1), FIRST, 12_000)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def _placed_or_refused(scheduler: Scheduler) -> str:
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -41,7 +41,7 @@
     return decision
 
 
-def asked(subject: str, domain: str) -> PlacementQuery:
+def query_from(subject: str, domain: str) -> PlacementQuery:
     return replace(wanted(subject=subject), domain=domain)
 
 
@@ -64,19 +64,19 @@
 
 
 @pytest.mark.parametrize('domain', DOMAINS)
-def test_what_is_new_is_read_nearby_while_there_is_room(domain: str) -> None:
+def test_a_new_prompt_stays_nearby_while_there_is_room(domain: str) -> None:
     scheduler = fleet()
-    placed = [place(scheduler, asked(one, domain)).upstream for one in SUBJECTS]
+    placed = [place(scheduler, query_from(one, domain)).upstream for one in SUBJECTS]
     assert {one.domain for one in placed} == {domain}
     assert len({one.name for one in placed}) == ENGINES
 
 
 @pytest.mark.parametrize(('body_bytes', 'stays'), [(200, False), (40_000, True)])
-def test_the_larger_a_body_the_longer_a_wait_it_stays_nearby_for(
+def test_larger_bodies_accept_a_longer_wait_nearby(
     body_bytes: int, stays: bool
 ) -> None:
     scheduler = fleet()
-    one = replace(asked('known', 'a'), body_bytes=body_bytes)
+    one = replace(query_from('known', 'a'), body_bytes=body_bytes)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
         scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
@@ -86,11 +86,11 @@
 
 
 @pytest.mark.parametrize('domain', DOMAINS)
-def test_what_was_read_elsewhere_is_not_read_again(domain: str) -> None:
+def test_a_prompt_cached_elsewhere_is_not_computed_again(domain: str) -> None:
     scheduler = fleet()
     for subject in SUBJECTS:
-        first = place(scheduler, asked(subject, 'a'))
-        assert place(scheduler, asked(subject, domain)).upstream == first.upstream
+        first = place(scheduler, query_from(subject, 'a'))
+        assert place(scheduler, query_from(subject, domain)).upstream == first.upstream
 
 
 @pytest.mark.parametrize('had', [0, 40])
@@ -119,4 +119,4 @@
         for run in range(40):
             name = UpstreamName(f'a{number}')
             scheduler.add_open((name, run), name, 5000)
-    assert place(scheduler, asked('new', 'a')).upstream.domain != 'a'
+    assert place(scheduler, query_from('new', 'a')).upstream.domain != 'a'
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -194,7 +194,7 @@
 
 
 @given(name=st.sampled_from(sorted(settings_fields())), number=ANYTHING)
-def test_settings_of_any_shape_end_in_an_error_for_people(
+def test_settings_of_any_shape_give_a_readable_error(
     name: str,
     number: object,
 ) -> None:
@@ -265,7 +265,9 @@
 
 
 @given(name=st.sampled_from(sorted(REPORT)), number=ANYTHING)
-def test_a_report_is_taken_and_passed_on_or_refused(name: str, number: object) -> None:
+def test_a_report_is_accepted_and_propagated_or_refused(
+    name: str, number: object
+) -> None:
     try:
         upstream = decode_upstream('i-1', {**REPORT, name: number})
     except (FieldError, ValueError) as error:
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -65,7 +65,7 @@
         ('/s/', {'Token_Count': 'many'}, 400),
     ],
 )
-async def test_each_door_keeps_its_rule(
+async def test_each_route_enforces_its_rules(
     site: Site,
     path: str,
     headers: dict[str, str],
@@ -166,7 +166,7 @@
     assert sum(worker.connections for worker in of_pool(site, 'app')) <= 2
 
 
-async def leave_while_served(site: Site) -> None:
+async def disconnect_while_served(site: Site) -> None:
     """Ask for something, and close the connection while an upstream works."""
     misbehave(site, 'app', Fault.hang, 9)
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
@@ -180,13 +180,13 @@
 
 
 async def test_work_of_a_caller_who_leaves_is_cancelled(site: Site) -> None:
-    await leave_while_served(site)
+    await disconnect_while_served(site)
     async with asyncio.timeout(5):
         while not any(worker.left for worker in site.workers):
             await asyncio.sleep(0.01)
 
 
-async def test_the_log_tells_who_had_the_request_of_a_caller_who_left(
+async def test_the_log_names_the_upstream_of_a_request_whose_caller_left(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -196,7 +196,7 @@
         lines.append({'event': event, **fields})
 
     monkeypatch.setattr(admission.logs, 'info', note)
-    await leave_while_served(site)
+    await disconnect_while_served(site)
     async with asyncio.timeout(5):
         while not any(line['event'] == 'request' for line in lines):
             await asyncio.sleep(0.01)
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize(('busy', 'status'), [(0.5, 200), (1.0, 503)])
-async def test_a_box_without_processor_time_takes_no_further_request(
+async def test_a_box_without_processor_time_accepts_no_further_request(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
     busy: float,
@@ -242,7 +242,7 @@
         assert reply.headers['Retry-After'] == str(OTHER_BOX_RETRY_SECONDS)
 
 
-async def test_what_a_box_has_no_time_for_is_answered_undecoded(
+async def test_a_shed_request_is_answered_without_being_decoded(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize('path', ['/u/', '/s/'])
-async def test_nothing_is_sent_when_the_callers_time_is_over(
+async def test_nothing_is_sent_after_the_callers_deadline(
     site: Site,
     path: str,
 ) -> None:
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -101,7 +101,7 @@
     assert (name.encode(), text.encode()) in forwarded(header)
 
 
-def test_no_two_refusals_are_taken_for_each_other() -> None:
+def test_refusals_are_distinct() -> None:
     # Equal answers made one name an alias of the other, and logs told the wrong one.
     assert len(Refusal.__members__) == len(list(Refusal))
 
@@ -126,7 +126,7 @@
         (421, '3', 0),
     ],
 )
-def test_an_upstream_that_turns_a_request_away_says_for_how_long(
+def test_the_backoff_of_a_rejected_request_is_read(
     status: int,
     given: str,
     pause: float,
@@ -147,7 +147,7 @@
         (421, [(b'Server-Leaving', b'1')], False),
     ],
 )
-def test_an_upstream_says_in_its_answers_that_it_leaves(
+def test_an_upstream_announces_its_drain_in_its_answers(
     status: int,
     headers: list[tuple[bytes, bytes]],
     leaving: bool,
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -25,7 +25,7 @@
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
 
 
-def test_repeats_stay_within_the_budget_of_the_fleet() -> None:
+def test_retries_stay_within_the_fleet_budget() -> None:
     clock = FakeClock()
     budget = RetryBudget(0.2, 50, 10, clock)
     budget.boxes = 10
@@ -45,7 +45,7 @@
         [b'id: 1\r\ndata: a\r\n\r', b'\nid: 2\r\ndata: b\r\n\r\n'],
     ],
 )
-def test_only_whole_events_are_passed_on(pieces: list[bytes]) -> None:
+def test_only_whole_events_are_forwarded(pieces: list[bytes]) -> None:
     splitter = EventSplitter()
     passed = b''.join(splitter.feed(piece) for piece in pieces)
     assert passed == b''.join(pieces)
@@ -54,7 +54,7 @@
     assert splitter.last_id == '2'
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = [
         (b'Connection', b'close, X-Hop'),
         (b'X-Hop', b'1'),
@@ -114,7 +114,7 @@
         (11, 0.4, 0.4),
     ],
 )
-def test_what_has_ended_so_far_says_little_of_a_route_just_begun(
+def test_early_durations_do_not_predict_those_of_a_new_route(
     watched: float, finished: float, longest: float
 ) -> None:
     """Only short requests have ended when a route has been used for a second.
@@ -147,7 +147,7 @@
     os.close(writer)
 
 
-def test_hubs_that_nobody_names_are_tried_no_more() -> None:
+def test_hubs_that_are_no_longer_listed_are_not_tried() -> None:
     clock = FakeClock()
     book = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
     book.add_learned([Address('h:1')])
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -67,7 +67,7 @@
     assert after.records == before.records
 
 
-async def test_an_upstream_that_reports_no_more_falls_silent_after_a_recall(
+async def test_a_recalled_upstream_without_reports_becomes_unresponsive(
     tmp_path: Path,
 ) -> None:
     before = Registry(boot_seconds, Signal())
@@ -81,7 +81,7 @@
     assert after.records[UpstreamName('lost')].unresponsive
 
 
-async def test_a_quarantine_outlives_a_restart_of_everything(tmp_path: Path) -> None:
+async def test_a_quarantine_survives_a_full_restart(tmp_path: Path) -> None:
     lethal = Fingerprint(b'lethal')
     before = Quarantine(boot_seconds, Signal())
     for number in range(3):
@@ -94,9 +94,7 @@
 
 @pytest.mark.parametrize('content', [b'', b'no frame', b'\x00' * 40])
 @pytest.mark.parametrize('kept', ['document', 'upstreams'])
-def test_a_damaged_file_is_passed_over(
-    content: bytes, kept: str, tmp_path: Path
-) -> None:
+def test_a_damaged_file_is_ignored(content: bytes, kept: str, tmp_path: Path) -> None:
     (tmp_path / kept).write_bytes(content)
     documents = Documents(read_document, Signal())
     registry = Registry(boot_seconds, Signal())
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize('phase', [Phase.serving, Phase.gone])
-def test_only_upstreams_that_are_gone_are_forgotten(phase: Phase) -> None:
+def test_only_gone_upstreams_expire(phase: Phase) -> None:
     clock = FakeClock()
     registry = Registry(clock, Signal())
     placement = Placement(registry, OpenWorkTable(clock))
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize('change', [{'domain': 'b'}, {'slots': 3}, {'cleared_by': 9}])
-def test_whatever_changes_in_a_report_is_passed_on(change: dict[str, object]) -> None:
+def test_every_change_in_a_report_is_propagated(change: dict[str, object]) -> None:
     # Found by reading: a change of domain or slots alone was kept back.
     registry = Registry(FakeClock(), Signal())
     registry.merge(engine('e0'), 'test')
@@ -44,7 +44,7 @@
     assert not registry.merge(replace(engine('e0'), sequence=3, **change), 'test')
 
 
-def test_what_was_learned_of_an_upstream_goes_with_its_record() -> None:
+def test_learned_state_expires_with_the_upstream_record() -> None:
     # Found by reading: one that fell silent for good was remembered for ever.
     clock = FakeClock()
     registry = Registry(clock, Signal())
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -23,7 +23,7 @@
     wanted,
 )
 
-PACE = 20_000
+TOKENS_PER_SECOND = 20_000
 SECONDS = 40
 LARGE = {'often': 60, 'less': 30, 'least': 20}
 MIXED = {'big': 60, 'small': 4, 'tiny': 1}
@@ -31,28 +31,26 @@
 
 @pytest.mark.parametrize('asks', [LARGE, MIXED])
 @pytest.mark.parametrize('stated', [1.0, 1.25, 2.0, 4.0])
-def test_each_account_gets_its_even_share_of_what_engines_give(
+def test_each_account_gets_its_fair_share_of_what_engines_process(
     asks: dict[str, int],
     stated: float,
 ) -> None:
     """``stated`` is a part of the pace at which the engine reads."""
-    granted = played(asks, PACE, SECONDS, int(PACE * stated))
+    granted = played(asks, TOKENS_PER_SECOND, SECONDS, int(TOKENS_PER_SECOND * stated))
     asked = {name: 1000.0 * SECONDS * often for name, often in asks.items()}
     named = {account(name): amount for name, amount in asked.items()}
-    level = fair_share_level(named, PACE * SECONDS)
+    level = fair_share_level(named, TOKENS_PER_SECOND * SECONDS)
     for name, amount in asked.items():
         assert granted[name] > 0.8 * min(level, amount)
-    assert granted.total() > PACE * SECONDS * 0.95
+    assert granted.total() > TOKENS_PER_SECOND * SECONDS * 0.95
 
 
-def test_a_scheduler_that_has_just_taken_over_refuses_nobody_for_what_others_gave() -> (
-    None
-):
+def test_a_new_scheduler_does_not_count_earlier_grants_as_refused() -> None:
     # What was asked of the scheduler before is told to the next one, and what that
     # one gave is not: it must not count as refused.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 4)
-    offer(scheduler, 4 * PACE)
+    offer(scheduler, 4 * TOKENS_PER_SECOND)
     for name, tokens in (('large', 160_000), ('small', 8000), ('tiny', 4000)):
         scheduler.shares.count_elsewhere(account(name), tokens)
     for number, name in enumerate(arriving({'large': 40, 'small': 2}, clock, 2)):
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize('serving', [read_on, read_nothing])
-async def test_a_scheduler_that_is_lost_without_a_word_is_left(
+async def test_a_scheduler_lost_without_a_close_is_abandoned(
     serving: Serving,
 ) -> None:
     # Accounts got unequal shares: four boxes waited 60 ms for each of 1,300
@@ -82,7 +82,7 @@
         assert link.scheduler is None
 
 
-async def test_word_of_progress_goes_out_without_being_polled_for() -> None:
+async def test_progress_is_sent_without_polling() -> None:
     async with silent_hub(read_on) as hub, running_link(hub) as link:
         await reached(link, connected=True)
         async with asyncio.timeout(15):
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize('serving', [read_on, read_nothing])
-async def test_a_scheduler_that_does_not_answer_is_left(serving: Serving) -> None:
+async def test_a_scheduler_that_does_not_answer_is_abandoned(serving: Serving) -> None:
     async with silent_hub(serving) as hub, running_link(hub) as link:
         await reached(link, connected=True)
         async with asyncio.timeout(15):
@@ -102,7 +102,7 @@
                 assert await link.place(wanted()) is None
 
 
-async def test_the_next_scheduler_is_attended_at_once(
+async def test_the_next_scheduler_is_connected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A pause here left every box to place by itself for 0.3 s after a change.
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize('seconds', [0.15, 0.3])
-async def test_a_box_that_is_late_itself_does_not_take_its_scheduler_for_lost(
+async def test_a_lagging_box_does_not_take_its_scheduler_for_lost(
     seconds: float,
 ) -> None:
     # A box in a flooded domain had no processor time left: it gave up answers
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize(('busy', 'learned'), [(0.2, True), (0.95, False)])
-async def test_nothing_is_learned_of_engines_from_a_box_without_time(
+async def test_nothing_is_learned_of_engines_from_a_lagging_box(
     monkeypatch: pytest.MonkeyPatch,
     busy: float,
     learned: bool,
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -38,7 +38,7 @@
         ({}, 30, float('inf')),
     ],
 )
-def test_the_even_level_gives_small_accounts_all_they_ask(
+def test_the_fair_share_level_gives_small_accounts_all_they_ask(
     asked: dict[str, float],
     capacity: float,
     level: float,
@@ -102,7 +102,7 @@
     )
 
 
-def test_what_would_begin_far_too_late_is_refused_at_once() -> None:
+def test_a_request_that_would_start_far_too_late_is_refused_at_once() -> None:
     scheduler = scheduler_of(FakeClock(), 1)
     decisions = [
         scheduler.place(('box', number), wanted(subject=str(number), tokens=9000))
@@ -123,7 +123,7 @@
         (12, 8.0, 5),
     ],
 )
-def test_the_expected_wait_counts_the_places_that_are_taken(
+def test_the_expected_wait_counts_the_occupied_slots(
     running: int,
     held: float,
     expected: float,
@@ -142,7 +142,7 @@
     assert choice.queue == pytest.approx(expected, abs=0.02)
 
 
-def test_a_slow_engine_is_no_bargain_for_being_near() -> None:
+def test_a_slow_engine_is_not_preferred_for_being_near() -> None:
     # Found by reading: a discount below zero grew with the slowness.
     scheduler = scheduler_of(FakeClock(), 1)
     registry = scheduler.placement.registry
--- a/tests/edge/test_shedding.py
+++ b/tests/edge/test_shedding.py
@@ -114,7 +114,7 @@
     return answer.decode()
 
 
-async def test_callers_that_leave_before_their_request_are_forgotten(
+async def test_connections_closed_before_a_request_are_dropped(
     tmp_path: Path,
 ) -> None:
     async with running_site(tmp_path) as site:
--- a/tests/edge/test_slow_loops.py
+++ b/tests/edge/test_slow_loops.py
@@ -12,7 +12,7 @@
 from standins.platform_site import running_site
 from tests.common.scheduling import FakeClock
 
-HELD_UP_SECONDS = 0.6
+BLOCK_SECONDS = 0.6
 LAG_SECONDS = 0.2
 
 
@@ -27,14 +27,14 @@
         upstream_connection.connect(Address(f'{host}:{port}'))
     )
     await asyncio.sleep(0)
-    time.sleep(HELD_UP_SECONDS)
+    time.sleep(BLOCK_SECONDS)
     connection = await connecting
     assert connection.usable
     connection.abort()
     server.close()
 
 
-async def hold_up(seconds: float) -> None:
+async def block_loop(seconds: float) -> None:
     """Block the loop for so long at a time; for ever."""
     while True:
         time.sleep(seconds)
@@ -45,7 +45,7 @@
     tmp_path: Path,
 ) -> None:
     # Guards against elections that never end: set-up fails after 15 s.
-    holding = asyncio.create_task(hold_up(0.4))
+    holding = asyncio.create_task(block_loop(0.4))
     async with running_site(tmp_path, hubs=3) as site:
         holding.cancel()
         assert len(site.hubs) == 3
--- a/tests/edge/test_sockets.py
+++ b/tests/edge/test_sockets.py
@@ -22,11 +22,13 @@
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ],
 )
-def test_what_a_door_accepts_is_probed(level: int, option: int, expected: int) -> None:
-    door = listening_socket('127.0.0.1', 0)
-    with socket.create_connection(door.getsockname()):
-        door.settimeout(5)
-        accepted, _ = door.accept()
+def test_accepted_connections_are_probed(
+    level: int, option: int, expected: int
+) -> None:
+    listener = listening_socket('127.0.0.1', 0)
+    with socket.create_connection(listener.getsockname()):
+        listener.settimeout(5)
+        accepted, _ = listener.accept()
         assert accepted.getsockopt(level, option) == expected
         accepted.close()
-    door.close()
+    listener.close()
--- a/tests/edge/test_unread_closes.py
+++ b/tests/edge/test_unread_closes.py
@@ -22,7 +22,7 @@
 from standins.platform_site import HOST, KEY, Site, running_site
 
 PROMPT = 'Model: m\r\nToken-Count: 300,40\r\nPrompt-Prefix: aa:100,bb:200\r\n'
-WARMING = 6
+WARMUP_REQUESTS = 6
 """Requests that leave a kept connection to each upstream of a pool."""
 
 
@@ -30,7 +30,7 @@
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
     """Return a site of one hub and one box, with kept connections."""
     async with running_site(tmp_path) as running:
-        for number in range(WARMING):
+        for number in range(WARMUP_REQUESTS):
             await running.ask_model('/s/', f's{number}')
             await running.ask('/u/', f'u{number}')
         yield running
