--- a/tests/edge/test_homes.py
+++ b/tests/edge/test_homes.py
@@ -100,7 +100,7 @@
         ('north', 'south', None),
     ],
 )
-def test_homes_of_route_and_account_both_bind(
+def test_homes_of_route_and_account_both_apply(
     route_homes: str, account_homes: str, common: str | None
 ) -> None:
     text = '{"version": 1, "routes": [%s], "services": [{"name": "app"}]}'
@@ -120,7 +120,7 @@
     assert common_areas(known, account) == expected
 
 
-def test_areas_travel_to_the_scheduler_and_bind_it() -> None:
+def test_areas_are_sent_to_the_scheduler_and_apply_there() -> None:
     scheduler = scheduler_of(FakeClock(), 2)
     scheduler.placement.areas = AREAS
     registry = scheduler.placement.registry
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -75,7 +75,7 @@
     )
 
 
-async def test_three_hubs_found_one_group_of_three_voters(site: Site) -> None:
+async def test_three_hubs_form_one_group_of_three_voters(site: Site) -> None:
     await until(has_voters(site, 3))
     founders = [hub for hub in site.hubs if hub.replica and hub.replica.is_leader()]
     assert len(founders) == 1
@@ -123,7 +123,7 @@
     assert await site.read_surely() == document(1)
 
 
-async def test_the_first_content_under_a_version_stays(site: Site) -> None:
+async def test_the_first_content_under_a_version_is_kept(site: Site) -> None:
     other = document(7, limits={'tokensPerS': 5})
     first, second = await asyncio.gather(
         site.publish(document(7), 0),
@@ -180,7 +180,7 @@
     assert (await site.publish(document(6))).code == 200
 
 
-async def test_without_a_majority_nothing_is_accepted_or_surely_read(
+async def test_without_a_majority_writes_and_consistent_reads_fail(
     site: Site,
 ) -> None:
     await until(has_voters(site, 3))
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -47,7 +47,9 @@
 
 @pytest.mark.parametrize('domain', DOMAINS)
 @pytest.mark.parametrize('tokens', [1000, 4000])
-def test_a_flood_of_one_domain_is_shared_out_over_all(domain: str, tokens: int) -> None:
+def test_a_flood_of_one_domain_is_spread_over_all_domains(
+    domain: str, tokens: int
+) -> None:
     """A flood of one domain filled its engines, and the others had room."""
     scheduler = fleet()
     for number in range(4 * len(SUBJECTS)):
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -220,7 +220,7 @@
     ),
     number=UNUSABLE.filter(lambda one: one not in ([], {})),
 )
-def test_what_is_no_number_in_a_document_is_named(
+def test_an_invalid_number_in_a_document_is_named(
     path: tuple[Any, ...],
     number: object,
 ) -> None:
@@ -277,7 +277,7 @@
 
 
 @given(slots=MEASURES)
-def test_a_report_may_have_any_number_of_places(slots: float) -> None:
+def test_a_report_may_have_any_number_of_slots(slots: float) -> None:
     assert decode_upstream('i-1', {**REPORT, 'slots': slots}).slots >= 1
 
 
@@ -288,7 +288,7 @@
     sizes=st.tuples(MEASURES, MEASURES),
     parts=st.lists(MEASURES, max_size=3),
 )
-def test_a_request_of_any_size_can_be_asked_about(
+def test_a_placement_query_may_have_any_size(
     patience: str,
     sizes: tuple[float, float],
     parts: list[float],
@@ -318,7 +318,7 @@
 
 
 @pytest.mark.parametrize('header', [('Deadline-Ms', 'nan'), ('Token-Count', '-1,2')])
-def test_a_request_whose_numbers_say_nothing_is_refused(
+def test_a_request_with_unusable_numbers_is_refused(
     header: tuple[str, str],
 ) -> None:
     with pytest.raises(MalformedRequestError):
@@ -326,7 +326,7 @@
 
 
 @given(st.lists(st.integers(0, 2**31 - 1), min_size=1, max_size=6))
-def test_demands_that_add_up_to_more_than_a_field_holds_are_sent(
+def test_demands_whose_sum_exceeds_a_field_are_sent(
     tokens: list[int],
 ) -> None:
     tally = Tally()
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -30,7 +30,7 @@
         yield running
 
 
-def ran(site: Site, attempt: str) -> int:
+def run_count(site: Site, attempt: str) -> int:
     return sum(worker.ran.count(attempt) for worker in site.workers)
 
 
@@ -39,7 +39,9 @@
         worker.misbehave(fault, times)
 
 
-async def test_an_upstream_gets_the_request_with_what_the_box_adds(site: Site) -> None:
+async def test_an_upstream_gets_the_request_with_the_headers_of_the_box(
+    site: Site,
+) -> None:
     reply = await site.ask('/u/x?y=1', 'r1', Tenant='forged', Expect_Instance='forged')
     worker = next(one for one in site.workers if one.seen)
     seen = worker.seen[0]
@@ -73,7 +75,7 @@
 ) -> None:
     reply = await site.ask(path, 'r1', **headers)
     assert reply.code == status
-    assert ran(site, 'r1') == (status == 200)
+    assert run_count(site, 'r1') == (status == 200)
 
 
 class Case(NamedTuple):
@@ -116,7 +118,7 @@
     ask = site.ask_model if case.pool == 'llm' else site.ask
     reply = await ask(case.path, 'r1')
     assert reply.code == case.status
-    assert ran(site, 'r1') == case.runs
+    assert run_count(site, 'r1') == case.runs
 
 
 async def make_first_choice(site: Site, faulty: Worker, fault: Fault) -> None:
@@ -132,7 +134,7 @@
             record.seconds = 9
 
 
-async def test_a_stream_that_breaks_off_goes_on_elsewhere_without_a_gap(
+async def test_a_broken_stream_resumes_elsewhere_without_a_gap(
     site: Site,
 ) -> None:
     of_pool(site, 'llm')[0].misbehave(Fault.cut)
@@ -149,7 +151,7 @@
     misbehave(site, 'llm', Fault.cut)
     with pytest.raises(HTTPStreamClosedError):
         await site.ask_model('/once/', 'r1')
-    assert ran(site, 'r1') == 1
+    assert run_count(site, 'r1') == 1
 
 
 async def test_a_connection_with_surplus_bytes_is_not_used_again(site: Site) -> None:
@@ -174,7 +176,7 @@
     head = f'GET /u/ HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: r1\r\n'
     writer.write(f'{head}Authorization: Token {KEY}\r\n\r\n'.encode())
     async with asyncio.timeout(5):
-        while not ran(site, 'r1'):
+        while not run_count(site, 'r1'):
             await asyncio.sleep(0.01)
     writer.close()
 
@@ -201,7 +203,7 @@
         while not any(line['event'] == 'request' for line in lines):
             await asyncio.sleep(0.01)
     line = next(one for one in lines if one['event'] == 'request')
-    worker = next(one for one in site.workers if ran(site, 'r1') and one.ran)
+    worker = next(one for one in site.workers if run_count(site, 'r1') and one.ran)
     assert line['outcome'] == admission.CALLER_DISCONNECTED
     assert (line['upstream'], line['sent']) == (worker.name, 1)
 
@@ -214,7 +216,7 @@
     assert reply.code == 504
 
 
-async def test_without_any_upstream_the_request_surely_did_not_run(site: Site) -> None:
+async def test_without_any_upstream_the_request_did_not_run(site: Site) -> None:
     changed = document(2)
     changed['services'] = [{'name': 'llm'}, {'name': 'app'}, {'name': 'none'}]
     routes = changed['routes']
@@ -237,7 +239,7 @@
     monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == status
-    assert ran(site, 'r1') == (status == 200)
+    assert run_count(site, 'r1') == (status == 200)
     if status == 503:
         assert reply.headers['Retry-After'] == str(OTHER_BOX_RETRY_SECONDS)
 
@@ -248,7 +250,7 @@
 ) -> None:
     # What a refusal costs is taken from the requests that the box serves: where
     # all of an account's requests come to one box, from that account's share.
-    unread = replace(DIALECT, read_call=fail_to_read)
+    unread = replace(DIALECT, read_call=fail_on_decode)
     monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
     monkeypatch.setattr(admission, 'loop_utilization', lambda: 1.0)
     reply = await site.ask('/u/', 'r1')
@@ -257,7 +259,7 @@
     assert not site.boxes[0].admission.tasks
 
 
-def fail_to_read(*given: object) -> Call:
+def fail_on_decode(*given: object) -> Call:
     raise AssertionError(f'decoded: {given}')
 
 
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -32,7 +32,7 @@
 )
 @pytest.mark.parametrize('change_case', [str, str.lower, str.upper, str.swapcase])
 @pytest.mark.parametrize('times', [1, 2])
-def test_fields_of_the_system_never_come_from_a_caller(
+def test_system_headers_are_never_taken_from_a_caller(
     name: str,
     change_case: type[str],
     times: int,
@@ -51,7 +51,9 @@
         ('Deadline-Ms', b'1500'),
     ],
 )
-def test_what_the_system_sets_stands_once_and_is_its_own(name: str, own: bytes) -> None:
+def test_system_headers_appear_once_with_the_value_of_the_box(
+    name: str, own: bytes
+) -> None:
     headers = forwarded((name, '7'), (name.lower(), '8'))
     texts = [text for one, text in headers if one.lower() == name.lower().encode()]
     assert texts == [own]
@@ -71,7 +73,7 @@
         ('', 900),
     ],
 )
-def test_the_callers_estimate_tells_what_an_engine_will_make(
+def test_the_callers_estimate_sets_the_expected_output(
     hint: str | None,
     expected: int,
 ) -> None:
@@ -94,7 +96,7 @@
         ('X-Hold', 'own of the caller'),
     ],
 )
-def test_what_a_caller_says_of_its_request_passes_unchanged(
+def test_request_headers_of_a_caller_are_forwarded_unchanged(
     header: tuple[str, str],
 ) -> None:
     name, text = header
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -132,7 +132,7 @@
     assert metrics.longest_seconds(route) == longest
 
 
-def test_a_slow_reader_of_the_log_costs_lines_and_never_time() -> None:
+def test_a_slow_log_reader_loses_lines_and_never_blocks() -> None:
     reader, writer = os.pipe()
     output = BoundedOutput(writer, FakeClock())
     line = f'{json.dumps({"event": "x" * 500})}\n'
@@ -149,12 +149,12 @@
 
 def test_hubs_that_are_no_longer_listed_are_not_tried() -> None:
     clock = FakeClock()
-    book = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
-    book.add_learned([Address('h:1')])
-    assert book.addresses() == ['h:1', 's:1']
+    known_hubs = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
+    known_hubs.add_learned([Address('h:1')])
+    assert known_hubs.addresses() == ['h:1', 's:1']
     clock.seconds += LEARNED_HUB_TTL_SECONDS + 1
-    book.add_learned([])
-    assert book.addresses() == ['s:1']
+    known_hubs.add_learned([])
+    assert known_hubs.addresses() == ['s:1']
 
 
 def test_counts_of_requests_do_not_grow_with_time() -> None:
@@ -166,11 +166,11 @@
     assert len(budget.requests[POOL]) <= 11
 
 
-def test_nothing_is_kept_for_a_scheduler_that_is_not_there() -> None:
+def test_nothing_is_queued_without_a_scheduler() -> None:
     scheduler = scheduler_of(FakeClock(), 1)
-    book = KnownHubs(BoxName('box'), 'a', [], FakeClock())
+    known_hubs = KnownHubs(BoxName('box'), 'a', [], FakeClock())
     registry = scheduler.placement.registry
-    link = PlacingLink('box', book, registry, 'token', scheduler.shares)
+    link = PlacingLink('box', known_hubs, registry, 'token', scheduler.shares)
     for _ in range(50):
         ticket = link.track(0, UpstreamName('e0'), 10)
         link.record_start(ticket)
@@ -180,7 +180,7 @@
     assert not link.open
 
 
-def test_a_hub_that_was_lost_altogether_schedules_again_when_it_is_back() -> None:
+def test_an_excluded_hub_schedules_again_after_a_loss_of_all_hubs() -> None:
     """Boxes agree on one scheduler soon after all hubs had lost power.
 
     Accounts got unequal shares in a play: boxes that had lost the same hub twice
@@ -189,18 +189,18 @@
     """
     clock = FakeClock()
     seeds = [Address('h1:1'), Address('h2:1')]
-    book = KnownHubs(BoxName('box'), 'a', seeds, clock)
+    known_hubs = KnownHubs(BoxName('box'), 'a', seeds, clock)
     for address in seeds:
-        book.mark_reachable(address)
-    first = book.scheduler()
+        known_hubs.mark_reachable(address)
+    first = known_hubs.scheduler()
     assert first is not None
     for _ in range(2):
-        book.exclude_scheduler(first)
+        known_hubs.exclude_scheduler(first)
         clock.seconds += 0.5
-    assert book.scheduler() != first
-    book.mark_unreachable(first)
-    book.mark_reachable(first)
-    assert book.scheduler() == first
+    assert known_hubs.scheduler() != first
+    known_hubs.mark_unreachable(first)
+    known_hubs.mark_reachable(first)
+    assert known_hubs.scheduler() == first
 
 
 SETTINGS = """
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -108,7 +108,7 @@
     ('arrives', 'status', 'reason'),
     [(True, 404, b'no route'), (False, 503, b'no document')],
 )
-async def test_a_request_waits_a_little_for_the_first_document(
+async def test_a_request_waits_briefly_for_the_first_document(
     arrives: bool,
     status: int,
     reason: bytes,
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -88,7 +88,7 @@
     assert second.upstream.name != first.upstream.name
 
 
-def test_scheduled_work_spreads_evenly_and_is_forgotten_with_its_box() -> None:
+def test_scheduled_work_spreads_evenly_and_is_dropped_with_its_box() -> None:
     scheduler = scheduler_of(FakeClock(), 4)
     for number in range(40):
         scheduler.place(('box', number), wanted(subject=str(number)))
@@ -164,7 +164,7 @@
     assert scheduler.shares.share_used(account('ann')) == 0
 
 
-def test_an_outage_saves_up_no_burst_of_share() -> None:
+def test_an_outage_accumulates_no_burst_of_share() -> None:
     # Found by reading: what was given back added up while no engine was there.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 0)
@@ -193,7 +193,7 @@
         (9000, 3000, 0.0, 80.0, 0.6 * 0.0001),
     ],
 )
-def test_who_is_within_its_share_and_well_cached_may_wait_longest(
+def test_well_cached_requests_within_their_share_may_wait_longest(
     tokens: int,
     unread: int,
     reading: float,
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize('unread', [1000, 9000])
-def test_the_longest_wait_falls_without_a_step(unread: int) -> None:
+def test_the_longest_wait_decreases_without_a_step(unread: int) -> None:
     choice = Choice(engine('e0'), unread, 0)
     one = wanted(tokens=9000)
     waits = [max_queue_seconds(one, choice, step / 100) for step in range(800)]
@@ -240,7 +240,7 @@
     assert scheduler.shares.granted.total == 1000
 
 
-def test_a_scheduler_that_has_just_taken_over_trusts_the_stated_capacity() -> None:
+def test_a_new_scheduler_trusts_the_stated_capacity() -> None:
     # Found by reading: the first wait that was too long cut it to a fifth.
     scheduler = scheduler_of(FakeClock(), 1)
     offer(scheduler, 4000)
@@ -256,7 +256,7 @@
     ('begun', 'served'),
     [(0.0, 4), (2.0, 8), (3.9, 16), (100.0, 4)],
 )
-def test_what_is_shared_after_a_start_is_what_the_engines_gave_since(
+def test_the_capacity_after_a_start_is_what_engines_processed_since(
     begun: float,
     served: int,
 ) -> None:
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize(('alike', 'served'), [(1, 16), (4, 4)])
-def test_a_box_that_hears_of_no_other_leaves_them_their_part(
+def test_an_isolated_box_leaves_the_others_their_shares(
     alike: int,
     served: int,
 ) -> None:
@@ -309,7 +309,7 @@
         ([4000], 1000),
     ],
 )
-def test_an_engine_keeps_as_much_as_its_memory_holds(
+def test_an_engine_caches_as_much_as_its_memory_holds(
     sent_between: list[int],
     unread: int,
 ) -> None:
--- a/tests/edge/test_shedding.py
+++ b/tests/edge/test_shedding.py
@@ -31,7 +31,7 @@
         ('PUT / HTTP/1.1\r\ncontent-length:7\r\n\r\n', 43, ''),
     ],
 )
-def test_a_request_with_a_plain_length_ends_where_it_says(
+def test_a_request_with_a_content_length_ends_there(
     seen: str, size: int, request_id: str
 ) -> None:
     request = shedder().parse(seen.encode())
--- a/tests/edge/test_slow_loops.py
+++ b/tests/edge/test_slow_loops.py
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.01)
 
 
-async def test_three_hubs_form_a_group_in_a_loop_that_is_held_up(
+async def test_three_hubs_form_a_group_in_a_blocked_event_loop(
     tmp_path: Path,
 ) -> None:
     # Guards against elections that never end: set-up fails after 15 s.
@@ -51,7 +51,7 @@
         assert len(site.hubs) == 3
 
 
-async def test_a_delay_fades_and_a_suspension_counts_little(
+async def test_a_delay_decays_and_a_suspension_counts_little(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = FakeClock()
--- a/tests/edge/test_unread_closes.py
+++ b/tests/edge/test_unread_closes.py
@@ -52,7 +52,7 @@
     chooser.choose = choose_and_act  # type: ignore[method-assign]
 
 
-def ask_and_keep(site: Site, path: str, fields: str) -> socket.socket:
+def send_request(site: Site, path: str, fields: str) -> socket.socket:
     """Send a request on a plain socket, and return the socket."""
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     caller = socket.create_connection((host, int(port)))
@@ -68,14 +68,14 @@
     path: str,
     fields: str,
 ) -> None:
-    caller = ask_and_keep(site, path, fields)
+    caller = send_request(site, path, fields)
     chosen = asyncio.Event()
 
-    def leave() -> None:
+    def disconnect() -> None:
         caller.close()
         chosen.set()
 
-    before_each_send(site, leave)
+    before_each_send(site, disconnect)
     async with asyncio.timeout(15):
         await chosen.wait()
         while site.boxes[0].admission.tasks:
