--- a/tests/edge/test_backpressure.py
+++ b/tests/edge/test_backpressure.py
@@ -1,14 +1,13 @@
-"""What upstreams ask for in their answers is kept by the box that they told.
-
-Three of nine engines under load answered 503 with ``Retry-After: 3``, and did not run
-the requests.  A box that was told so sent up to 37 more to the same engine within these
-three seconds, while six other engines ran requests: 438 attempts ended in this way in
-five seconds, and most of them with a 503 for the caller.
-
-The header was read nowhere: an answer of 503 was a failure like any other, which has
-no weight in the choice of an engine, and the scheduler, which chooses for all boxes,
-hears nothing of answers.  The box logged ``"event": "attempt failed", "verdict":
-"not run", "status": 503`` each time, ``decided_by`` the scheduler, and never an
+"""A box honors the ``Retry-After`` of upstreams that answered it.
+
+Guards against sending requests to an upstream that has asked for backoff.  When the
+header of a 503 answer was ignored, the answer counted as an ordinary failure, which
+has no weight in the choice of an engine, and the scheduler, which places requests for
+all boxes, does not see answers.  While three of nine engines answered 503 with
+``Retry-After: 3``, one box sent up to 37 more requests to the same engine within these
+three seconds, although six other engines were serving: 438 attempts failed in five
+seconds, most of them with a 503 for the caller.  The box logged ``attempt failed`` with
+``"verdict": "not run", "status": 503`` and ``decided_by`` the scheduler, and never
 ``upstream ejected``.
 """
 
@@ -28,7 +27,7 @@
 from tests.common.scheduling import FakeClock
 
 BACKOFF_SECONDS = 60.0
-"""Seconds; longer than a test takes."""
+"""Longer than a test takes."""
 
 FAULT_COUNT = 1000
 
@@ -47,7 +46,7 @@
 
 
 async def lose_scheduler(site: Site) -> None:
-    """Have the boxes decide by themselves."""
+    """Stop the hub, and wait until the boxes place requests by themselves."""
     await site.kill_hub(site.hubs[0])
     async with asyncio.timeout(10):
         while any(
@@ -97,7 +96,7 @@
     pool: str,
     times: int,
 ) -> None:
-    """Callers came back after 0.1 or 0.3 s, to a box that had nothing for them."""
+    """Guards against retries after 0.1 or 0.3 s, while every upstream is in backoff."""
     first, last = of_pool(site, pool)
     reject_requests([first], BACKOFF_SECONDS)
     reject_requests([last], BACKOFF_SECONDS * 10)
@@ -172,7 +171,7 @@
     [
         ([3.0], 2.9, False),
         ([3.0], 3.1, True),
-        # The longest of several counts, whichever came last.
+        # The longest of several backoffs applies, in whatever order they arrive.
         ([3.0, 0.5], 2.9, False),
         ([0.5, 3.0], 2.9, False),
         ([3.0, 0.0], 2.9, False),
@@ -195,7 +194,7 @@
 
 
 def test_a_backoff_requested_before_an_incarnation_is_known_is_kept() -> None:
-    """A restarted upstream answers for some time under the name of its last life."""
+    """A restarted upstream keeps its previous incarnation's name until it reports."""
     clock = FakeClock()
     backpressure = Backpressure(clock)
     backpressure.pause(FIRST, 3)
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -1,4 +1,4 @@
-"""Cold upstreams get no more requests than they bear, over all processes."""
+"""The rate limit of cold upstreams holds over all processes together."""
 
 import random
 from collections import Counter, deque
@@ -29,7 +29,7 @@
 RATE = 9.8
 OVERRUN = 1.5
 SLACK = 5
-"""The bound over all boxes is the rate times the overrun, and the slack."""
+"""Requests; all boxes together may send ``RATE * OVERRUN + SLACK`` in a second."""
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
 
 
 class AcceptingScheduler:
-    """A link to a scheduler that has room at every engine."""
+    """A link to a scheduler that accepts every request."""
 
     def __init__(self, clock: FakeClock, choice: Choice) -> None:
         self.now = clock
@@ -167,7 +167,7 @@
 
 @dataclass
 class Decider:
-    """One of many processes that decide without a word to each other."""
+    """One of many processes that place requests without communicating."""
 
     budget: ColdBudget
 
@@ -204,7 +204,7 @@
     demand: Callable[[int], bool],
     seconds: int,
 ) -> list[float]:
-    """Return when requests were sent; each decider tries every 20 ms on demand."""
+    """Return the send times; each decider tries every 20 ms while there is demand."""
     return list(_sends(clock, deciders, demand, seconds))
 
 
--- a/tests/edge/test_health.py
+++ b/tests/edge/test_health.py
@@ -1,4 +1,4 @@
-"""What a box makes of an upstream that keeps failing."""
+"""Ejection of an upstream that keeps failing."""
 
 import pytest
 
--- a/tests/edge/test_leaving_answers.py
+++ b/tests/edge/test_leaving_answers.py
@@ -1,12 +1,12 @@
-"""A box sends nothing to an upstream that said in an answer that it leaves.
+"""A box sends no further request to an upstream whose answer announces its drain.
 
-Upstreams that leave say so in all their answers, with ``Server-Leaving: 1``.  A hub
-that is told of it by the upstream tells all boxes, but a box that reaches no hub, or is
-answered before the report is in, has only the answer to go by.
+Draining upstreams set ``Server-Leaving: 1`` in all their answers.  A hub that the
+upstream notifies propagates it to all boxes, but a box that reaches no hub, or is
+answered before the report arrives, has only the answer.
 
-The header was read nowhere, and passed on to the caller with the others.  A box whose
-hub was gone sent such an engine 12 further requests of 12, and a plain service 5; each
-was answered well, so no line of its log told of it.
+Guards against ignoring the header, which was forwarded to the caller like any other.  A
+box without a hub sent such an engine 12 of 12 further requests, and a plain service 5;
+each succeeded, so the box logged nothing about it.
 """
 
 import asyncio
@@ -66,7 +66,7 @@
     draining, _ = of_pool(site, 'app')
     draining.leaving = True
     await ask_until_seen(site, draining)
-    # It reports itself as serving, later than its answer.
+    # The upstream reports itself as serving after its answer announced the drain.
     await site.tell(draining, draining.sequence + 5)
     await site.start_worker('p3', 'app')
     await site.settle()
@@ -77,7 +77,7 @@
 async def test_an_answer_of_another_upstream_at_the_address_is_ignored(
     site: Site,
 ) -> None:
-    """An address may have gone to an upstream that leaves; it answers 421."""
+    """A draining upstream that has taken over an address answers 421."""
     named = of_pool(site, 'app')[0]
     called = named.name
     named.name, named.leaving = 'another', True
--- a/tests/edge/test_lethal_requests.py
+++ b/tests/edge/test_lethal_requests.py
@@ -1,12 +1,12 @@
-"""A request under which upstreams end is kept away from the rest of them.
-
-Ten engines ended one after the other on one day.  The same content of one account was
-open there each time, under a new id and mostly from another box; up to twelve other
-requests broke off with it.  Boxes noted that an upstream had failed, never under what,
-and so sent the next repeat to the next best engine.  What settled it: ``attempt
-failed``, ``broken``, status 200, for one prompt of 621 tokens at seven of the eight
-ends that logs show, from 8.6 to 17.2 s, and for no other content at more than two;
-each of these lines says ``attempt: 1``.
+"""A request that crashes upstreams is kept away from the remaining ones.
+
+Guards against retries of one content that crash one engine after another.  Boxes
+recorded that an upstream had failed but not during which request, and sent the next
+retry to the next best engine: ten engines crashed in one day, and each crash broke off
+up to twelve other requests.  Each time the same content of one account was in flight,
+under a new id and mostly from another box.  In the logs, one prompt of 621 tokens had
+``attempt failed``, ``broken``, status 200 and ``attempt: 1`` at seven of eight crashes,
+from 8.6 to 17.2 s; no other content had it at more than two.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 async def send(site: Site, box: int, path: str, attempt: str, body: str) -> int:
-    """Return the status of an answer, 0 for a connection that was closed."""
+    """Return the status of the answer, or 0 if the connection was closed."""
     headers = {
         'Host': HOST,
         'Attempt_Id': attempt,
@@ -47,7 +47,7 @@
 
 
 async def add_upstreams(site: Site) -> None:
-    """Start more of either pool; each ends under the same body."""
+    """Start more upstreams in both pools; the same body crashes each of them."""
     for number in range(UPSTREAMS):
         await site.start_worker(f'engine-{number}', 'llm')
         await site.start_worker(f'plain-{number}', 'app')
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -1,8 +1,9 @@
-"""An upstream that starts again under its name is another one.
+"""An upstream that restarts under its name is a new incarnation.
 
-It holds nothing of before, and counts its reports anew: taken for the earlier life, its
-first reports were older than those that were known, its address stayed that of before,
-and after a departure no report of it counted any more.
+It holds nothing of the earlier incarnation, and numbers its reports from the start
+again.  Guards against taking it for the earlier one: its first reports looked older
+than the known ones, its address stayed the previous one, and after a departure all its
+reports were ignored.
 """
 
 import asyncio
@@ -40,7 +41,7 @@
 def report(
     born: int | None, sequence: int, address: str = OLD, **more: object
 ) -> Upstream:
-    """Return a report as it comes to a hub's door."""
+    """Return a report as a hub receives it."""
     start = {} if born is None else {'born': born}
     body = {
         'service': POOL,
@@ -55,7 +56,7 @@
 
 
 class Hub:
-    """The part of a hub that hears upstreams."""
+    """The part of a hub that receives reports of upstreams."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -75,7 +76,7 @@
 
 
 class Case(NamedTuple):
-    """What a hub hears, and which addresses get new work then."""
+    """Reports that a hub receives, and the addresses that get new requests then."""
 
     heard: tuple[Upstream, ...]
     used: list[str]
@@ -85,7 +86,7 @@
     'case',
     [
         Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW)), [NEW]),
-        # A late report of the earlier life, whatever it says.
+        # A late report of the earlier incarnation is ignored, whatever its state.
         Case((report(SECOND_START_MS, 1, NEW), report(FIRST_START_MS, 51)), [NEW]),
         Case(
             (
@@ -109,7 +110,7 @@
             ),
             [],
         ),
-        # A promise that was given for the earlier life binds that one only.
+        # The drain of the earlier incarnation does not apply to the later one.
         Case(
             (
                 report(FIRST_START_MS, 50, state='draining'),
@@ -117,9 +118,9 @@
             ),
             [NEW],
         ),
-        # At its old address, as a process that is started again.
+        # A process that restarts at its old address.
         Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1)), [OLD]),
-        # Upstreams that do not say when they started.
+        # Upstreams that do not report their start time.
         Case((report(None, 5), report(None, 4, NEW)), [OLD]),
         Case((report(None, 5), report(SECOND_START_MS, 1, NEW)), [NEW]),
     ],
@@ -226,7 +227,7 @@
     registry = Registry(FakeClock(), Signal())
     heard = order + [order[place] for place in again]
     for one in heard:
-        # As it travels from hub to box.
+        # The encoding in which hubs send records to boxes.
         registry.merge(decode_record(encode_upstream(one)), 'test')
     assert [one.address for one in registry.serving(POOL)] == [NEW]
     assert registry.serving(POOL)[0].sequence == 2
@@ -273,11 +274,11 @@
 
 
 SETTLED_SECONDS = 12.0
-"""More than a clock that went back is believed after."""
+"""Longer than the time after which a start time that went back is accepted."""
 
 
 def report_periodically(hub: Hub, seconds: float, born: int, address: str) -> None:
-    """Let a life report itself every period, and the others be silent."""
+    """Let one incarnation report every period while the others are silent."""
     sequence = 1
     until = hub.clock.seconds + seconds
     while hub.clock.seconds < until:
@@ -288,7 +289,7 @@
 
 
 def test_a_seemingly_earlier_incarnation_counts_once_the_later_is_silent() -> None:
-    # The machine's clock was set back between the two starts.
+    # The clock of the machine was set back between the two starts.
     hub = Hub()
     hub.receive(report(SECOND_START_MS, 50))
     report_periodically(hub, PERIOD, FIRST_START_MS, NEW)
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a fleet knows again right after a restart."""
+"""State that a fleet recovers right after a restart."""
 
 import asyncio
 import json
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -1,4 +1,4 @@
-"""What is kept and passed on of upstreams, and what is forgotten."""
+"""Upstream state that is kept and propagated, and when it expires."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize('change', [{'domain': 'b'}, {'slots': 3}, {'cleared_by': 9}])
 def test_every_change_in_a_report_is_propagated(change: dict[str, object]) -> None:
-    # Found by reading: a change of domain or slots alone was kept back.
+    # Guards against withholding a report in which only the domain or slots changed.
     registry = Registry(FakeClock(), Signal())
     registry.merge(engine('e0'), 'test')
     seen = registry.changes
@@ -45,7 +45,7 @@
 
 
 def test_learned_state_expires_with_the_upstream_record() -> None:
-    # Found by reading: one that fell silent for good was remembered for ever.
+    # Guards against keeping state of an upstream that never reports again.
     clock = FakeClock()
     registry = Registry(clock, Signal())
     placement = Placement(registry, OpenWorkTable(clock))
