--- a/tests/edge/__init__.py
+++ b/tests/edge/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of entry boxes and hubs, on loopback and without the bench."""
+"""Tests of entry boxes and hubs on loopback, without the bench."""
--- a/tests/edge/test_alone.py
+++ b/tests/edge/test_alone.py
@@ -1,4 +1,4 @@
-"""A box that no hub tells of the others: what it counts on, and for how long."""
+"""Load estimates of a box that receives no digests from a hub."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 def link_of(clock: FakeClock) -> EntryLink:
-    """Return the link of a box that a hub has told of the others."""
+    """Return the link of a box that a hub has sent the load of the others."""
     scheduler = scheduler_of(clock, 1)
     known = FleetState(
         Documents(read_document, Signal()),
@@ -60,7 +60,7 @@
     [
         (0, TOTAL_RUNNING),
         (DIGEST_TTL_SECONDS - 0.1, TOTAL_RUNNING),
-        # Nothing is known of the others any more: they may do as this one does.
+        # The digest has expired: every other box is assumed to send as much as this.
         (DIGEST_TTL_SECONDS + 0.1, OWN_RUNNING * BOXES),
     ],
 )
@@ -68,7 +68,10 @@
     seconds: float,
     running: int,
 ) -> None:
-    """The one box left of a flooded domain multiplied its own queue by the fleet."""
+    """Guards against multiplying the box's load by the fleet size too early.
+
+    The last remaining box of an overloaded domain did so with its own queue.
+    """
     clock = FakeClock()
     link = link_of(clock)
     open_work = link.known.open_work
--- a/tests/edge/test_directory.py
+++ b/tests/edge/test_directory.py
@@ -1,4 +1,4 @@
-"""Where callers are sent: near, evenly, and with little change."""
+"""The directory sends callers to near boxes, evenly and with few changes."""
 
 from collections import Counter
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 
 def entries_by_domain(sizes: dict[str, int], hubs: int = 0) -> list[ReadyEntry]:
-    """Return boxes by domain, the first of each beside hubs."""
+    """Return boxes by domain; the first ``hubs`` of each share a machine with a hub."""
     return [
         ReadyEntry(
             Address(f'10.{place}.0.{number}:80'),
@@ -39,14 +39,14 @@
 
 
 def fleet(domains: int, size: int, hubs: int = 0) -> list[ReadyEntry]:
-    """Return a fleet of domains of one size."""
+    """Return a fleet of domains of equal size."""
     return entries_by_domain({f'd{number}': size for number in range(domains)}, hubs)
 
 
 def answer_for(
     entries: list[ReadyEntry], domain: str = 'd0', caller: CallerKey = CALLERS[0]
 ) -> AddressSelection:
-    """Return what a caller is told."""
+    """Return the directory's answer to a caller."""
     return select_addresses(caller, domain, entries, MAX_ADDRESSES)
 
 
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize('domains', [3, 5, 12])
 def test_every_box_of_a_large_fleet_serves_callers(domains: int) -> None:
-    """The lowest 64 addresses served all callers, and two thirds stood idle."""
+    """Guards against listing only the lowest 64 addresses; two thirds were idle."""
     entries = fleet(domains, 200 // domains)
     listed: set[Address] = set()
     for number in range(domains):
@@ -169,7 +169,7 @@
         (0.15, 20, 1),
         (0.2, 20, 11),
         (0.325, 20, 40),
-        # A fifth each of all that an answer holds: 20 to 80.
+        # 64 addresses are split in proportion to 20 near and 80 other boxes.
         (0.5, 13, 51),
         (1, 13, 51),
     ],
@@ -179,7 +179,7 @@
     near: int,
     elsewhere: int,
 ) -> None:
-    """In a flooded domain two boxes refused two of three, beside 20 idle ones."""
+    """Guards against two boxes that refuse two of three requests while 20 idle."""
     entries = [
         replace(entry, utilization=busy) if entry.domain == 'd0' else entry
         for entry in fleet(5, 20)
@@ -209,9 +209,9 @@
 
 
 class PinnedCallers:
-    """Callers of one account that all stay with one of the boxes they are told.
+    """Callers of one account that all stay with one of the listed boxes.
 
-    ``flood`` is what they ask together, as a part of what one box can serve.
+    ``flood`` is their total load, as a multiple of the capacity of one box.
     """
 
     def __init__(self, entries: list[ReadyEntry], flood: float) -> None:
@@ -220,7 +220,7 @@
         self.load: Counter[Address] = Counter()
 
     def ask_again(self) -> None:
-        """Let each caller ask where to go, and use it."""
+        """Let each caller query the directory and use one of the listed boxes."""
         self.load = Counter()
         for caller in CALLERS[:40]:
             answer = select_addresses(caller, 'd0', self.entries, MAX_ADDRESSES)
@@ -240,7 +240,7 @@
 def test_callers_that_stay_with_one_box_are_spread_over_several(
     size: int, flood: float
 ) -> None:
-    # Guards against an account that floods one box beside others that are idle.
+    # Guards against an account that overloads one box while others are idle.
     play = PinnedCallers(fleet(5, size), flood)
     shares = []
     for _ in range(20):
@@ -248,7 +248,7 @@
         shares.append(max(play.load.values()) / 40)
     most = 1 if size < MIN_ADDRESSES / 2 else 0.6
     assert max(shares) == pytest.approx(1)
-    # A small domain's callers are sent elsewhere by turns, most of them at once.
+    # Callers of a small domain alternate between domains, most of them together.
     assert max(shares[4:]) < 1
     assert sum(shares[10:]) / 10 <= most
 
--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Orders on failure domains: accepted, kept, and obeyed by every box."""
+"""Evacuation orders are accepted, stored, and obeyed by every box."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site of three hubs whose engines stand in domain a."""
+    """Return a site of three hubs whose engines are in domain a."""
     async with running_site(
         tmp_path, hubs=3, boxes=2, disks_lost=1, areas=AREAS
     ) as running:
@@ -47,7 +47,7 @@
 
 
 async def order(site: Site, domain: str, hub: int, *, active: bool) -> None:
-    """Send an order until it is accepted, as operators do."""
+    """Retry an order until it is accepted, as operators do."""
     async with asyncio.timeout(WAIT_SECONDS):
         while (await site.evacuate(domain, hub, active=active)).code != 200:
             await asyncio.sleep(0.05)
@@ -84,7 +84,7 @@
         reply = await site.ask_model(path, f'r{path}')
         assert reply.code == 503
     assert not any(worker.ran for worker in site.workers)
-    # Refused for want of an upstream, not because its time was over.
+    # The refusal is due to the missing upstream, not to the deadline.
     outcomes = site.boxes[0].admission.metrics.outcomes
     assert outcomes == {'no_upstream': 3}
 
@@ -97,7 +97,7 @@
     await site.kill_hub(leader)
     await until(lambda: any(one.replica.has_lease() for one in site.hubs))
     await until(closed_everywhere(site, {'a'}))
-    # Only the leader's machine is certain of what was committed.
+    # Only the leader's hub is certain to know what was committed.
     await order(site, 'b', 0, active=True)
     await until(closed_everywhere(site, {'a', 'b'}))
 
@@ -117,7 +117,7 @@
 
 
 class InvalidCall(NamedTuple):
-    """A call that is refused, and the status that says why."""
+    """An invalid call and the status of its answer."""
 
     method: str
     path: str
@@ -175,7 +175,7 @@
 
 
 Step = tuple[str, bool, int]
-"""Domain, order, and how many editions the hub that read it lags behind."""
+"""Domain, whether to evacuate it, and how many editions the issuing hub lags behind."""
 
 
 @given(
--- a/tests/edge/test_full_disks.py
+++ b/tests/edge/test_full_disks.py
@@ -1,11 +1,11 @@
-"""A hub whose disk was full once leads again as any other.
+"""A hub whose disk was full for a while can lead and commit again.
 
-After a lost disk no hub told the newest document for 15 s, though three of four
-replicas ran.  One of them had met a full disk 30 s before.  The task that syncs what a
-leader appends had ended then, without a line in the log: a follower does without it,
-since its leader's calls sync what they bring.  Elected at 34.76 s (``leads``, term 3),
-that hub committed nothing, and its heartbeats kept the others from an election
-(``no leader answered in time`` until the end).
+Guards against a leader that cannot commit.  The task that syncs the leader's appends
+exited on a full disk without a log line.  A follower does not need the task, since the
+calls of its leader sync what they append; once elected, 30 s after the full disk
+(``leads``, term 3, at 34.76 s), the hub committed nothing, and its heartbeats kept the
+others from an election (``no leader answered in time``).  No hub served the newest
+document for 15 s, though three of four replicas ran.
 """
 
 import asyncio
--- a/tests/edge/test_handoff.py
+++ b/tests/edge/test_handoff.py
@@ -1,4 +1,4 @@
-"""A box short of processor time hands connections on to boxes that have some."""
+"""A box short of processor time hands off connections to boxes with spare time."""
 
 import asyncio
 import socket
@@ -43,9 +43,9 @@
 
 @pytest.fixture
 async def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Site]:
-    """Return a site whose first box hands every connection on, if it can."""
+    """Return a site whose first box hands off every connection, if it has a target."""
     monkeypatch.setattr(caller_server, 'should_hand_off', lambda _busy: True)
-    # Beside other work a box that runs may take longer to greet.
+    # On a loaded machine a running box may take longer to greet.
     monkeypatch.setattr(handoff, 'CONNECT_SECONDS', WAIT_SECONDS)
     async with running_site(tmp_path, hubs=1, boxes=2) as running:
         yield running
@@ -58,7 +58,7 @@
 
 
 def enable_handoff(site: Site) -> tuple[EntryBox, EntryBox]:
-    """Let the first box know of the second; return both."""
+    """Make the second box a handoff target of the first; return both."""
     first, second = site.boxes
     first.caller_server.handoff.targets.offer([second.settings.relief_listen or ''])
     return first, second
--- a/tests/edge/test_homes.py
+++ b/tests/edge/test_homes.py
@@ -1,4 +1,4 @@
-"""Requests with homes are served in these areas, and nowhere else."""
+"""Requests with home areas are served in these areas only."""
 
 import json
 from collections.abc import AsyncIterator
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site whose first workers stand in the north, and others elsewhere."""
+    """Return a site whose first workers are in the north, and the others elsewhere."""
     async with running_site(tmp_path, hubs=1, boxes=1, areas=AREAS) as running:
         for number, domain in enumerate('bc'):
             await running.start_worker(f'e{domain}{number}', 'llm', domain=domain)
@@ -36,7 +36,7 @@
 
 
 def with_homes(version: int, homes: list[str]) -> dict[str, object]:
-    """Return a document whose routes have homes."""
+    """Return a document whose routes have these home areas."""
     routes = [
         route(
             's', '/s/', 'stream', service='llm', resumable=True, allowedRegions=homes
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -1,4 +1,4 @@
-"""Hubs found a group by themselves, and keep documents and upstreams."""
+"""Hubs form a group by themselves and replicate documents and upstreams."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site of three hubs, of which one disk may be lost."""
+    """Return a site of three hubs that tolerates the loss of one disk."""
     async with running_site(tmp_path, hubs=3, boxes=2, disks_lost=1) as running:
         yield running
 
@@ -45,7 +45,7 @@
 
 
 async def leader_of(site: Site) -> Hub:
-    """Wait for a leader: there may be none at the moment, beside load."""
+    """Wait for a leader; on a loaded machine there may be none at the moment."""
 
     def leaders() -> list[Hub]:
         return [hub for hub in site.hubs if hub.replica and hub.replica.has_lease()]
@@ -66,7 +66,7 @@
 
 
 def live_hubs_vote(site: Site) -> bool:
-    """Tell whether the voters are the hubs that run, under their present ids."""
+    """Tell whether the voters are the running hubs, under their current ids."""
     replicas = [hub.replica for hub in site.hubs if hub.replica is not None]
     present = {replica.identity.replica for replica in replicas}
     return any(
@@ -132,7 +132,7 @@
     assert {first.code, second.code} == {200}
     read = await site.read_surely(2)
     assert read in (document(7), other)
-    # Whatever comes later under this or an older version alters nothing.
+    # Later content under this or an older version changes nothing.
     for version in (7, 3):
         assert (await site.publish(document(version, limits={}), 2)).code == 200
         assert await site.read_surely(0) == read
@@ -150,7 +150,7 @@
     await site.start_hub(again)
     await until(lambda: live_hubs_vote(site))
     assert await site.read_surely() == document(8)
-    # The second loss, right after the repair, is borne as well.
+    # The group also tolerates a second loss right after the repair.
     await site.kill_hub(await leader_of(site))
     await until_taken(site, document(9))
     assert await site.read_surely() == document(9)
@@ -216,7 +216,7 @@
         )
 
     await until(all_know)
-    # A late report of earlier times does not bring it back.
+    # A delayed earlier report does not reactivate it.
     await site.tell(site.workers[0], 1, hub=1)
     await asyncio.sleep(0.3)
     assert all_know()
@@ -247,7 +247,7 @@
 
 @pytest.mark.parametrize('hub_first', [True, False])
 def test_a_hub_and_an_entry_box_may_share_a_machine(hub_first: bool) -> None:
-    # Three hubs of six were never admitted where both shared a machine.
+    # Guards against hubs that are never admitted: three of six, on shared machines.
     hub = Hello(box='m1', hub_address='10.0.0.1:7', replica='m1#1')
     entry = Hello(box='m1', entry_address='10.0.0.1:8')
     connected_boxes = ConnectedBoxes(boot_seconds, 'a')
@@ -387,6 +387,6 @@
         await asyncio.sleep(0.005)
     await until(lambda: 'burst59' in link.known.registry.records)
     assert sum(accepted) >= 60
-    # However long the burst takes: each hub's frames are some time apart.
+    # The bound scales with the duration, since each hub sends frames at an interval.
     most = (loop.time() - began) / FRAME_INTERVAL_SECONDS + 2
     assert len([one for one in accepted if one]) <= len(site.hubs) * most
--- a/tests/edge/test_sockets.py
+++ b/tests/edge/test_sockets.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good are noticed at every door."""
+"""Every listener detects connections whose peer has gone silent for good."""
 
 import socket
 
