--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism that decides can be switched off, and then decides nothing."""
+"""Each placement mechanism can be switched off, and then has no effect."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 def scheduler_with(mechanisms: Mechanisms) -> Scheduler:
-    """Return a scheduler of a near engine e0 and a far one e1."""
+    """Return a scheduler with a near engine e0 and a far one e1."""
     scheduler = scheduler_of(FakeClock(), 2, mechanisms)
     far = replace(engine('e1'), domain='b', sequence=2)
     scheduler.placement.registry.merge(far, 'test')
@@ -24,7 +24,7 @@
 
 
 def outcome_of(scheduler: Scheduler, one: PlacementQuery) -> str:
-    """Return where a request goes, or why it is refused."""
+    """Return the engine chosen for a request, or the reason of its refusal."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
         return decision.name
@@ -32,7 +32,7 @@
 
 
 def long_query(scheduler: Scheduler) -> PlacementQuery:
-    """Return a long request whose subject e0 is taken to hold."""
+    """Return a long request whose subject is assumed to be cached at e0."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
     return next(one for one in subjects if outcome_of(scheduler, one) == FIRST)
 
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -1,4 +1,4 @@
-"""Prompts and the failure domains of engines: what crosses, and what does not."""
+"""Placement of prompts within and across the failure domains of engines."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
 
 
 def fleet() -> Scheduler:
-    """Return a scheduler of some engines in each of three domains."""
+    """Return a scheduler with ``ENGINES`` engines in each of three domains."""
     clock = FakeClock()
     registry = Registry(clock, Signal())
     for domain in DOMAINS:
@@ -34,7 +34,7 @@
 
 
 def place(scheduler: Scheduler, one: PlacementQuery, number: int = 0) -> Choice:
-    """Place a request that ends at once, so that no queue grows."""
+    """Place a request that completes at once, so that no queue grows."""
     decision = scheduler.place(('box', number), one)
     assert isinstance(decision, Choice)
     scheduler.end(('box', number))
@@ -50,7 +50,7 @@
 def test_a_flood_of_one_domain_is_spread_over_all_domains(
     domain: str, tokens: int
 ) -> None:
-    """A flood of one domain filled its engines, and the others had room."""
+    """Guards against a flood that fills the engines of one domain while others idle."""
     scheduler = fleet()
     for number in range(4 * len(SUBJECTS)):
         one = replace(wanted(subject=str(number), tokens=tokens), domain=domain)
@@ -59,7 +59,7 @@
         name: scheduler.placement.open_work.waiting(name)
         for name in scheduler.placement.registry.names()
     }
-    # Nearby an engine may have the wait of the preference before others are used.
+    # A near engine is preferred up to this wait before others are used.
     slack = NEAR_WAIT_FRACTION * 0.6 * DEFAULT_READ_RATE + 2 * tokens
     assert max(waits.values()) - min(waits.values()) <= slack
     assert all(waits.values())
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize('had', [0, 40])
 def test_a_request_goes_elsewhere_rather_than_be_refused(had: int) -> None:
-    """A wait nearby that is no reason to go far was one to refuse a request."""
+    """Guards against refusing a request for a wait too short to choose a far engine."""
     scheduler = fleet()
     offer(scheduler, 40_000)
     for number in range(had):
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -1,7 +1,7 @@
-"""Numbers from outside: fractions, huge, zero or absent, in any shape of deployment.
+"""Numbers from outside: fractions, huge, zero or absent, in settings of any shape.
 
-Each process ended at once where a bound was a fraction, and a day was served by
-nobody.
+Guards against processes that exit at the start because a bound is a fraction, which
+left a day without service.
 """
 
 import json
@@ -65,7 +65,7 @@
     bounds: dict[str, Any] | None = None,
     machines: object = 2,
 ) -> dict[str, Any]:
-    """Return the fields of a settings file as the platform's page shows them."""
+    """Return the fields of a settings file as the platform documentation shows them."""
     return {
         'nodeName': 'front-a-1',
         'serves': ['front', 'control', 'directory'],
@@ -88,7 +88,7 @@
 
 
 def document_fields() -> dict[str, Any]:
-    """Return a document as the platform's page shows it."""
+    """Return a document as the platform documentation shows it."""
     return {
         'version': 7,
         'routes': [
--- a/tests/edge/test_overload.py
+++ b/tests/edge/test_overload.py
@@ -1,4 +1,4 @@
-"""When a box turns requests away for lack of processor time."""
+"""Load shedding of a box that is short of processor time."""
 
 import random
 
@@ -33,7 +33,7 @@
     [(0, 1), (REJECT_LAG_SECONDS, 1), (0.2, 0.5), (REJECT_ALL_LAG_SECONDS, 0), (1, 0)],
 )
 def test_a_box_admits_less_as_its_event_loop_lags(lag: float, part: float) -> None:
-    # Guards against requests that wait in a box until their callers leave.
+    # Guards against requests that wait in a box until their callers disconnect.
     random.seed(1)
     admitted = sum(should_admit(0.5, lag) for _ in range(TRIES))
     assert admitted / TRIES == pytest.approx(part, abs=0.04)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize('offered', [0.5, 1.5, 3, 10])
 def test_utilization_settles_below_one_under_overload(offered: float) -> None:
-    """``offered`` is what comes, as a part of what the box can serve."""
+    """``offered`` is the offered load, as a multiple of the box's capacity."""
     random.seed(1)
     busy = 0.0
     levels = []
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -1,4 +1,4 @@
-"""Requests through a box reach one upstream, whole, and never too often."""
+"""Requests reach one upstream, whole, and run no more often than allowed."""
 
 import asyncio
 import json
@@ -79,7 +79,7 @@
 
 
 class Case(NamedTuple):
-    """A fault of a pool's upstreams, and what the request comes to."""
+    """A fault of a pool's upstreams, and the expected status and number of runs."""
 
     path: str
     pool: str
@@ -122,7 +122,7 @@
 
 
 async def make_first_choice(site: Site, faulty: Worker, fault: Fault) -> None:
-    """Have an upstream chosen first, whose next request meets a fault."""
+    """Have a given upstream chosen first, whose next request meets a fault."""
     faulty.misbehave(fault)
     others = [one for one in of_pool(site, faulty.pool) if one is not faulty]
     chooser = site.boxes[0].admission.dispatcher.chooser
@@ -169,7 +169,7 @@
 
 
 async def disconnect_while_served(site: Site) -> None:
-    """Ask for something, and close the connection while an upstream works."""
+    """Send a request, and close the connection while an upstream serves it."""
     misbehave(site, 'app', Fault.hang, 9)
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     _, writer = await asyncio.open_connection(host, int(port))
@@ -248,8 +248,8 @@
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What a refusal costs is taken from the requests that the box serves: where
-    # all of an account's requests come to one box, from that account's share.
+    # The cost of a refusal reduces what the box can serve; if all requests of an
+    # account reach one box, it reduces the share of that account.
     unread = replace(DIALECT, read_call=fail_on_decode)
     monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
     monkeypatch.setattr(admission, 'loop_utilization', lambda: 1.0)
@@ -268,14 +268,14 @@
     site: Site,
     path: str,
 ) -> None:
-    # A box that had no time itself sent requests on a second after the end.
+    # Guards against a lagging box that forwards requests a second after the deadline.
     dispatcher = site.boxes[0].admission.dispatcher
     scheduler = site.hubs[0].placing.scheduler
     choose = dispatcher.chooser.choose
 
     async def choose_late(context: RequestContext) -> Choice | Refusal:
         choice = await choose(context)
-        # The loop does nothing meanwhile, so no timer ends the request.
+        # Blocks the event loop, so that no timer cancels the request.
         time.sleep(0.3)
         return choice
 
@@ -286,14 +286,14 @@
     assert not any(
         one.attempt == 'r1' for worker in site.workers for one in worker.seen
     )
-    # Nor does the scheduler take the place for taken.
+    # The scheduler releases the slot as well.
     async with asyncio.timeout(15):
         while scheduler.open:
             await asyncio.sleep(0.01)
 
 
 async def head_of(site: Site) -> str:
-    """Return the head of an answer on a connection that would be kept."""
+    """Return the head of an answer on a connection that is kept alive by default."""
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = ('POST /u/ HTTP/1.1', f'Host: {HOST}', f'Authorization: Token {KEY}')
@@ -313,8 +313,8 @@
     busy: float,
     asked: bool,
 ) -> None:
-    # The connection to a box that refuses at once is always free: one of 24
-    # boxes got a half of all requests, and refused most of them.
+    # A box that refuses at once always has a free connection, so callers prefer it:
+    # one of 24 boxes got half of all requests, and refused most of them.
     monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
     monkeypatch.setattr(caller, 'loop_utilization', lambda: busy)
     assert ('Connection: close' in await head_of(site)) == asked
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""What of a caller's headers reaches an upstream."""
+"""Headers of a caller that reach an upstream."""
 
 import pytest
 
@@ -104,7 +104,7 @@
 
 
 def test_refusals_are_distinct() -> None:
-    # Equal answers made one name an alias of the other, and logs told the wrong one.
+    # Enum members with equal answers become aliases, and logs name the wrong one.
     assert len(Refusal.__members__) == len(list(Refusal))
 
 
@@ -145,7 +145,7 @@
         (500, [(b'SERVER-LEAVING', b'1')], True),
         (200, [(b'Server-Leaving', b'0')], False),
         (200, [], False),
-        # Another upstream answers at this address.
+        # The answer comes from another upstream at this address.
         (421, [(b'Server-Leaving', b'1')], False),
     ],
 )
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -1,4 +1,4 @@
-"""Repeats, events, hubs, stops, settings and logs, each by itself."""
+"""Unit tests of retries, events, known hubs, shutdown, settings and logs."""
 
 import json
 import os
@@ -72,7 +72,7 @@
         (0.1, 5.0, True, False),
         (0.1, 6.0, True, True),
         (2.0, 4.5, True, True),
-        # Both were taken and cut within their grace.
+        # Guards against accepting these and then cutting them within the grace period.
         (3.7, 1.0, True, True),
         (5.2, 0.5, True, True),
         (5.2, 0.5, False, False),
@@ -117,11 +117,12 @@
 def test_early_durations_do_not_predict_those_of_a_new_route(
     watched: float, finished: float, longest: float
 ) -> None:
-    """Only short requests have ended when a route has been used for a second.
+    """Only short requests have completed when a route has been used for a second.
 
-    A box that was to stop 1.0 s after its first requests took streams for 1.2 s more,
-    by those that had ended; two of them, asked for at 2.21 s, lasted longer than its
-    grace and were cut at 8.67 s (``stopped``, then ``caller gone`` after 6.452 s).
+    Guards against estimating durations from these.  A box that was stopped 1.0 s after
+    its first requests accepted streams for 1.2 s more on that estimate; two of them,
+    received at 2.21 s, lasted longer than its grace period and were cut at 8.67 s
+    (``stopped``, then ``caller gone`` after 6.452 s).
     """
     clock = FakeClock()
     metrics = EntryMetrics(clock)
@@ -181,11 +182,11 @@
 
 
 def test_an_excluded_hub_schedules_again_after_a_loss_of_all_hubs() -> None:
-    """Boxes agree on one scheduler soon after all hubs had lost power.
+    """Boxes agree on one scheduler soon after a power loss of all hubs.
 
-    Accounts got unequal shares in a play: boxes that had lost the same hub twice
-    kept away from it for 8 s, the others did not, and two schedulers admitted a
-    whole capacity each.
+    Guards against unequal shares of accounts: boxes that had lost the same hub twice
+    excluded it for 8 s, the others did not, and two schedulers each admitted requests
+    for the whole capacity.
     """
     clock = FakeClock()
     seeds = [Address('h1:1'), Address('h2:1')]
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -1,12 +1,13 @@
-"""Accounts share what engines give, though it is less than what is stated.
-
-Two accounts asked for far more than their share, one of them through a single box
-and less often.  In the same six seconds it got 695 thousand tokens and the other
-1,619 thousand.  The scheduler's lines `refused` named neither as over its share: the
-first had a `standing` of 0.46 in the middle, the second of 0.94, and both were
-`overloaded`, with a `queue` of 0.48 s.  Engines began 508 thousand tokens a second,
-and the even level was worked out from what the document states, which is more.  So
-nobody reached the level, nobody gave way, and a place went to who asked most often.
+"""Accounts get equal shares when engines process less than the document states.
+
+Guards against a fair share level that is computed from the stated capacity alone.  When
+engines process less, no account reaches that level, so none is held back, and the
+account that asks most often gets most.  Two accounts asked for far more than their
+share, one of them through a single box and less often: in the same six seconds it got
+695 thousand tokens and the other 1,619 thousand.  Engines started 508 thousand tokens a
+second, less than the document states.  In the log lines ``refused`` of the scheduler
+neither was over its share: both were ``overloaded`` with a ``queue`` of 0.48 s, at a
+median ``standing`` of 0.46 and 0.94.
 """
 
 import pytest
@@ -35,7 +36,7 @@
     asks: dict[str, int],
     stated: float,
 ) -> None:
-    """``stated`` is a part of the pace at which the engine reads."""
+    """``stated`` is the stated capacity as a multiple of the engine's prefill rate."""
     granted = played(asks, TOKENS_PER_SECOND, SECONDS, int(TOKENS_PER_SECOND * stated))
     asked = {name: 1000.0 * SECONDS * often for name, often in asks.items()}
     named = {account(name): amount for name, amount in asked.items()}
@@ -46,8 +47,8 @@
 
 
 def test_a_new_scheduler_does_not_count_earlier_grants_as_refused() -> None:
-    # What was asked of the scheduler before is told to the next one, and what that
-    # one gave is not: it must not count as refused.
+    # A new scheduler learns the demand on its predecessor but not the grants; the
+    # difference must not count as refused.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 4)
     offer(scheduler, 4 * TOKENS_PER_SECOND)
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -1,4 +1,4 @@
-"""A box's link to its scheduler, where the scheduler does not behave."""
+"""The link of a box to a scheduler that is slow, silent or lost."""
 
 import asyncio
 import time
@@ -25,19 +25,19 @@
 
 
 async def read_on(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
-    """Take every byte and say nothing, as a host behind a cut seems to."""
+    """Read every byte and send nothing, like a host behind a network partition."""
     await reader.read()
 
 
 async def read_nothing(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Take no byte, as a process that is stopped."""
+    """Read nothing, as a process that is stopped."""
     await asyncio.sleep(60)
     writer.close()
 
 
 @asynccontextmanager
 async def silent_hub(serving: Serving) -> AsyncIterator[Address]:
-    """Run a hub that answers nothing."""
+    """Run a hub that never answers."""
     server = await asyncio.start_server(serving, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     try:
@@ -48,7 +48,7 @@
 
 @asynccontextmanager
 async def running_link(hub: Address) -> AsyncIterator[PlacingLink]:
-    """Run a link to the only hub that is known."""
+    """Run a link to the only known hub."""
     book = KnownHubs(BoxName('box'), 'a', [hub], boot_seconds)
     book.mark_reachable(hub)
     registry = Registry(boot_seconds, Signal())
@@ -72,9 +72,9 @@
 async def test_a_scheduler_lost_without_a_close_is_abandoned(
     serving: Serving,
 ) -> None:
-    # Accounts got unequal shares: four boxes waited 60 ms for each of 1,300
-    # answers of a hub that had lost power, and each shared capacity by itself:
-    # the call to leave the stream waited for the hub's first word.
+    # Guards against unequal shares: four boxes waited 60 ms for each of 1,300
+    # answers of a hub that had lost power, and each then shared out capacity by
+    # itself, because closing the stream waited for the first message of the hub.
     async with silent_hub(serving) as hub, running_link(hub) as link:
         await reached(link, connected=True)
         link.known_hubs.mark_unreachable(hub)
@@ -105,7 +105,7 @@
 async def test_the_next_scheduler_is_connected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A pause here left every box to place by itself for 0.3 s after a change.
+    # A delay here makes every box place by itself for 0.3 s after a change.
     monkeypatch.setattr(placing, 'MAX_RETRY_DELAY_SECONDS', 1000)
     async with (
         silent_hub(read_on) as first,
@@ -136,15 +136,15 @@
 async def test_a_lagging_box_does_not_take_its_scheduler_for_lost(
     seconds: float,
 ) -> None:
-    # A box in a flooded domain had no processor time left: it gave up answers
-    # that lay unread, and refused two of three requests by itself.
+    # Guards against a box without processor time, in an overloaded domain, that
+    # abandons unread answers: it refused two of three requests by itself.
     async with prompt_hub() as hub, running_link(hub) as link:
         link.registry.merge(engine('e0'), 'test')
         await reached(link, connected=True)
         asked = asyncio.create_task(link.place(wanted()))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        # The box does nothing for a while, as one whose share is used up.
+        # Blocks the event loop, as in a box whose processor share is used up.
         time.sleep(seconds)
         assert isinstance(await asked, Choice)
         assert not link.unanswered
@@ -156,8 +156,8 @@
     busy: float,
     learned: bool,
 ) -> None:
-    # A flooded box noted first events seconds late; the scheduler took every
-    # engine for slow and refused what other domains asked for.
+    # Guards against an overloaded box that records first events seconds late: the
+    # scheduler took every engine for slow and refused requests of other domains.
     monkeypatch.setattr(placing, 'loop_utilization', lambda: busy)
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
--- a/tests/edge/test_sharing.py
+++ b/tests/edge/test_sharing.py
@@ -1,4 +1,4 @@
-"""Who is served, where, and what becomes of the rest."""
+"""Admission, placement and refusal of requests by fair shares."""
 
 from dataclasses import replace
 
@@ -54,13 +54,13 @@
     granted = played({'big': flood, 'small': 4, 'less': 4}, 20_000, 40)
     assert granted['small'] > 4 * 1000 * 40 * 0.95
     assert granted['less'] > 4 * 1000 * 40 * 0.95
-    # Nothing is refused while there is room: the engine has always work.
+    # No request is refused while there is capacity, so the engine is never idle.
     assert granted.total() > 20_000 * 40 * 0.95
 
 
 def test_accounts_that_ask_too_much_get_the_same() -> None:
-    # Found in a play under faults: one account got a fifth of what it asked
-    # and an eighth of what another got, as waits were refused by chance.
+    # Guards against refusing waits at random: under faults, one account got a fifth
+    # of what it asked for and an eighth of what another got.
     granted = played({'a': 60, 'b': 30, 'c': 20}, 20_000, 40)
     assert min(granted.values()) > 0.8 * max(granted.values())
 
@@ -77,7 +77,7 @@
 
 
 def test_rather_than_be_refused_a_request_within_its_share_goes_elsewhere() -> None:
-    # The engine that has the subject is cheapest, and busy beyond the goal.
+    # The engine that has the subject cached is cheapest, but its wait exceeds the goal.
     scheduler = scheduler_of(FakeClock(), 2)
     first = scheduler.place(('box', 0), wanted(tokens=20_000))
     assert isinstance(first, Choice)
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     ('running', 'held', 'expected'),
     [
-        # Eight places, each held for 0.8 s: one is free every 0.1 s.
+        # Eight slots, each held for 0.8 s: one becomes free every 0.1 s.
         (7, 0.8, 0),
         (8, 0.8, 0.1),
         (12, 0.8, 0.5),
@@ -143,7 +143,7 @@
 
 
 def test_a_slow_engine_is_not_preferred_for_being_near() -> None:
-    # Found by reading: a discount below zero grew with the slowness.
+    # Guards against a negative discount that grows with the slowness.
     scheduler = scheduler_of(FakeClock(), 1)
     registry = scheduler.placement.registry
     registry.merge(replace(engine('far'), domain='b'), 'test')
@@ -155,7 +155,7 @@
 
 
 def test_a_request_that_no_engine_gets_costs_its_account_no_share() -> None:
-    # Accounts got unequal shares: 175 requests of one account were charged
+    # Guards against unequal shares: 175 requests of one account were charged to it
     # and then refused as overloaded.
     scheduler = scheduler_of(FakeClock(), 0)
     offer(scheduler, 100)
@@ -165,7 +165,7 @@
 
 
 def test_an_outage_accumulates_no_burst_of_share() -> None:
-    # Found by reading: what was given back added up while no engine was there.
+    # Guards against refunds that accumulate while no engine is available.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 0)
     offer(scheduler, 100)
@@ -181,11 +181,11 @@
 @pytest.mark.parametrize(
     ('tokens', 'unread', 'reading', 'standing', 'longest'),
     [
-        # Within its share a request waits until it would begin too late ...
+        # Within the account's share a request waits until it would start too late.
         (9000, 3000, 0.0, 0.5, 0.6),
         (9000, 9000, 0.2, 0.8, 0.4),
         (9000, 9000, 0.7, 0.5, 0.15),
-        # ... beyond it less and less, and least with a lot to read.
+        # Beyond the share the wait shrinks, most of all for a long uncached prompt.
         (9000, 3000, 0.1, 1.0, 0.5 * 0.64),
         (9000, 3000, 0.0, 2.0, 0.6 * 0.16),
         (9000, 9000, 0.0, 2.0, 0.2 * 0.16),
@@ -227,7 +227,7 @@
 
 
 def test_an_attempt_after_a_failed_one_is_counted_once() -> None:
-    # Found by reading: three attempts cost an account three times its request.
+    # Guards against charging an account once for each of three attempts.
     scheduler = scheduler_of(FakeClock(), 3)
     offer(scheduler, 1000)
     tried: set[UpstreamName] = set()
@@ -241,7 +241,7 @@
 
 
 def test_a_new_scheduler_trusts_the_stated_capacity() -> None:
-    # Found by reading: the first wait that was too long cut it to a fifth.
+    # Guards against cutting the capacity to a fifth at the first wait that is too long.
     scheduler = scheduler_of(FakeClock(), 1)
     offer(scheduler, 4000)
     for name in 'abcd':
@@ -260,7 +260,7 @@
     begun: float,
     served: int,
 ) -> None:
-    # An engine that gives 4000 a second; a share window is 4 s.
+    # The engine processes 4000 tokens a second; a share window is 4 s.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, 4000)
@@ -278,7 +278,7 @@
     alike: int,
     served: int,
 ) -> None:
-    # An engine that gives 4000 a second, and a window of 4 s.
+    # The engine processes 4000 tokens a second; a share window is 4 s.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, 4000)
@@ -302,9 +302,9 @@
 @pytest.mark.parametrize(
     ('sent_between', 'unread'),
     [
-        # An engine of 4000 tokens still has the first 1000 ...
+        # A cache of 4000 tokens still holds the first 1000 tokens.
         ([1000, 1000, 1000], 0),
-        # ... until as much again came after them.
+        # They are evicted once 4000 more tokens have followed.
         ([1000, 1000, 1000, 1000], 1000),
         ([4000], 1000),
     ],
@@ -324,8 +324,8 @@
 
 
 def test_a_prompt_that_was_never_sent_is_not_cached_right_after_boot() -> None:
-    # Found by reading: the clock starts at boot, and what was never sent
-    # counted as sent then.
+    # Guards against counting a prompt that was never sent as sent at boot, where
+    # the clock starts.
     clock = FakeClock()
     clock.seconds = 5.0
     prefix_cache = PrefixCacheModel(clock)
--- a/tests/edge/test_shedding.py
+++ b/tests/edge/test_shedding.py
@@ -60,7 +60,7 @@
 
 
 class Case(NamedTuple):
-    """What a caller sends piece by piece, and the status it gets."""
+    """The pieces in which a caller sends a request, and the status of the answer."""
 
     pieces: tuple[str, ...]
     admits: bool
@@ -74,7 +74,7 @@
         Case((WITH_LENGTH[:-2], WITH_LENGTH[-2:]), admits=False, status=503),
         Case((WITH_LENGTH,), admits=True, status=200),
         Case((WITH_LENGTH[:30], WITH_LENGTH[30:]), admits=True, status=200),
-        # Read by the HTTP server, and served or rejected there.
+        # Parsed by the HTTP server, which serves or rejects it.
         Case((CHUNKED,), admits=True, status=200),
         Case((CHUNKED,), admits=False, status=503),
         Case((WITH_LENGTH[:30], WITH_LENGTH[30:]), admits=False, status=503),
@@ -101,7 +101,7 @@
 
 
 async def exchange(site: Site, pieces: tuple[str, ...]) -> str:
-    """Send pieces on a connection; return what comes until it pauses or ends."""
+    """Send pieces on a connection; return what is received until a pause or the end."""
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     for piece in pieces:
--- a/tests/edge/test_slow_loops.py
+++ b/tests/edge/test_slow_loops.py
@@ -1,4 +1,4 @@
-"""A process that is behind does not take its own delay for a silence of others."""
+"""A process with a lagging event loop does not take its delay for others' silence."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 async def test_an_upstream_is_reached_while_this_process_is_behind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against sound upstreams that are ejected by a box without processor time.
+    # Guards against a box without processor time that ejects healthy upstreams.
     monkeypatch.setattr(upstream_connection, 'loop_lag', lambda: LAG_SECONDS)
     server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
@@ -35,7 +35,7 @@
 
 
 async def block_loop(seconds: float) -> None:
-    """Block the loop for so long at a time; for ever."""
+    """Block the event loop again and again, each time for this many seconds."""
     while True:
         time.sleep(seconds)
         await asyncio.sleep(0.01)
@@ -44,7 +44,7 @@
 async def test_three_hubs_form_a_group_in_a_blocked_event_loop(
     tmp_path: Path,
 ) -> None:
-    # Guards against elections that never end: set-up fails after 15 s.
+    # Guards against elections that never end; the set-up fails after 15 s.
     holding = asyncio.create_task(block_loop(0.4))
     async with running_site(tmp_path, hubs=3) as site:
         holding.cancel()
--- a/tests/edge/test_unread_closes.py
+++ b/tests/edge/test_unread_closes.py
@@ -1,12 +1,13 @@
-"""A close that has reached the machine counts, though the loop has not read it.
-
-A box was seconds behind its sockets: its readiness check got no answer from
-15.487 s to 17.984 s, and of the tries that it should have answered 122 failed in
-one second.  A caller who had waited four seconds for the first event of its stream
-closed its connection at 21.971 s.  The box's log would have told it only later, for
-the close lay unread behind the work that it was to stop: the request reached an
-engine at 23.500 s, which ran it to its end at 24.144 s for nobody.  The caller's
-stated time went on for six more seconds, so no look at the clock helped.
+"""A close that the machine has received counts before the event loop has read it.
+
+Guards against sending a request for a caller that has already disconnected.  When a box
+lags behind its sockets, the close lies unread behind the work that it should cancel,
+and the deadline does not help, since it had six more seconds.  A box lagged by seconds:
+its readiness check got no answer from 15.487 s to 17.984 s, and 122 of the attempts
+that it should have answered failed in one second.  A caller that had waited four
+seconds for the first event of its stream closed its connection at 21.971 s.  The
+request reached an engine at 23.500 s, which ran it to the end at 24.144 s for nobody;
+the box had not logged the close yet.
 """
 
 import asyncio
@@ -23,12 +24,12 @@
 
 PROMPT = 'Model: m\r\nToken-Count: 300,40\r\nPrompt-Prefix: aa:100,bb:200\r\n'
 WARMUP_REQUESTS = 6
-"""Requests that leave a kept connection to each upstream of a pool."""
+"""Enough requests to leave an idle connection to each upstream of a pool."""
 
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site of one hub and one box, with kept connections."""
+    """Return a site of one hub and one box, with idle connections to upstreams."""
     async with running_site(tmp_path) as running:
         for number in range(WARMUP_REQUESTS):
             await running.ask_model('/s/', f's{number}')
@@ -37,9 +38,9 @@
 
 
 def before_each_send(site: Site, act: Callable[[], None]) -> None:
-    """Have something happen between the choice of an upstream and the sending.
+    """Run a function between the choice of an upstream and the sending.
 
-    The loop does not turn in between, as in a box that is behind.
+    The event loop does not run in between, as in a box that lags.
     """
     chooser = site.boxes[0].admission.dispatcher.chooser
     choose = chooser.choose
@@ -53,7 +54,7 @@
 
 
 def send_request(site: Site, path: str, fields: str) -> socket.socket:
-    """Send a request on a plain socket, and return the socket."""
+    """Send a request on a plain socket, and return the open socket."""
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     caller = socket.create_connection((host, int(port)))
     head = f'POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: left\r\n'
@@ -83,7 +84,7 @@
     assert not any(
         one.attempt == 'left' for worker in site.workers for one in worker.seen
     )
-    # Nor does the scheduler take the place for taken.
+    # The scheduler releases the slot as well.
     scheduler = site.hubs[0].placing.scheduler
     async with asyncio.timeout(15):
         while scheduler.open:
@@ -93,15 +94,15 @@
 async def test_a_kept_connection_whose_close_is_not_read_yet_is_not_used(
     site: Site,
 ) -> None:
-    # An upstream that lets idle connections go would leave it unknown whether
-    # such a request ran, and one that may not run twice would be lost.
+    # If the upstream closes an idle connection, it is unknown whether a request sent
+    # on it ran, and a request that may not run twice is lost.
     before_each_send(site, lambda: end_idle_connections(site))
     reply = await site.ask('/u/', 'whole')
     assert reply.code == 200
 
 
 def end_idle_connections(site: Site) -> None:
-    """Have every plain worker close what it keeps, with no turn of the loop."""
+    """Have every plain worker close its idle connections without running the loop."""
     for worker in site.workers:
         for kept in worker.open if worker.pool == 'app' else ():
             kept.get_extra_info('socket').shutdown(socket.SHUT_RDWR)
