--- a/tests/edge/test_evacuations.py
+++ b/tests/edge/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Orders on failure domains: accepted, kept, and obeyed by every box."""
+"""Evacuation orders are accepted, stored, and obeyed by every box."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site of three hubs whose engines stand in domain a."""
+    """Return a site of three hubs whose engines are in domain a."""
     async with running_site(
         tmp_path, hubs=3, boxes=2, disks_lost=1, areas=AREAS
     ) as running:
@@ -47,7 +47,7 @@
 
 
 async def order(site: Site, domain: str, hub: int, *, active: bool) -> None:
-    """Send an order until it is accepted, as operators do."""
+    """Retry an order until it is accepted, as operators do."""
     async with asyncio.timeout(WAIT_SECONDS):
         while (await site.evacuate(domain, hub, active=active)).code != 200:
             await asyncio.sleep(0.05)
@@ -84,7 +84,7 @@
         reply = await site.ask_model(path, f'r{path}')
         assert reply.code == 503
     assert not any(worker.ran for worker in site.workers)
-    # Refused for want of an upstream, not because its time was over.
+    # The refusal is due to the missing upstream, not to the deadline.
     outcomes = site.boxes[0].admission.metrics.outcomes
     assert outcomes == {'no_upstream': 3}
 
@@ -97,7 +97,7 @@
     await site.kill_hub(leader)
     await until(lambda: any(one.replica.has_lease() for one in site.hubs))
     await until(closed_everywhere(site, {'a'}))
-    # Only the leader's machine is certain of what was committed.
+    # Only the leader's hub is certain to know what was committed.
     await order(site, 'b', 0, active=True)
     await until(closed_everywhere(site, {'a', 'b'}))
 
@@ -116,8 +116,8 @@
     await until(closed_everywhere(site, set()))
 
 
-class Bad(NamedTuple):
-    """A call that is refused, and the status that says why."""
+class InvalidCall(NamedTuple):
+    """An invalid call and the status of its answer."""
 
     method: str
     path: str
@@ -126,42 +126,42 @@
 
 
 @pytest.mark.parametrize(
-    'bad',
+    'invalid',
     [
-        Bad('POST', '/api/evacuations/nowhere', None, 404),
-        Bad('DELETE', '/api/evacuations/nowhere', None, 404),
-        Bad('POST', '/api/evacuations/a', '{"active": true}', 400),
-        Bad('PUT', '/api/evacuations/a', None, 405),
-        Bad('GET', '/api/evacuations/a', None, 405),
-        Bad('POST', '/api/evacuations/', None, 404),
+        InvalidCall('POST', '/api/evacuations/nowhere', None, 404),
+        InvalidCall('DELETE', '/api/evacuations/nowhere', None, 404),
+        InvalidCall('POST', '/api/evacuations/a', '{"active": true}', 400),
+        InvalidCall('PUT', '/api/evacuations/a', None, 405),
+        InvalidCall('GET', '/api/evacuations/a', None, 405),
+        InvalidCall('POST', '/api/evacuations/', None, 404),
     ],
 )
 async def test_a_call_that_makes_no_sense_is_refused_and_changes_nothing(
-    site: Site, bad: Bad
+    site: Site, invalid: InvalidCall
 ) -> None:
     control = site.hubs[0].settings.control_listen
-    reply = await site.call(bad.method, control, bad.path, bad.body)
-    assert reply.code == bad.status
+    reply = await site.call(invalid.method, control, invalid.path, invalid.body)
+    assert reply.code == invalid.status
     assert not site.hubs[0].state.evacuations.edition
 
 
-def machine_of(lists: list[EvacuationList]) -> GroupStateMachine:
+def state_machine(lists: list[EvacuationList]) -> GroupStateMachine:
     return GroupStateMachine(lambda _version, _body: None, lists.append)
 
 
-def command(domain: str, *, active: bool, seen: int) -> bytes:
+def encode_order(domain: str, *, active: bool, seen: int) -> bytes:
     message = EvacuationOrder(domain=domain, active=active, seen_edition=seen)
     return GroupEntry(order=message).SerializeToString()
 
 
 def test_a_delayed_repeat_does_not_undo_a_later_order() -> None:
     lists: list[EvacuationList] = []
-    machine = machine_of(lists)
-    assert machine.apply(command('a', active=True, seen=0))
-    assert machine.apply(command('a', active=False, seen=1))
-    assert not machine.apply(command('a', active=True, seen=0))
+    machine = state_machine(lists)
+    assert machine.apply(encode_order('a', active=True, seen=0))
+    assert machine.apply(encode_order('a', active=False, seen=1))
+    assert not machine.apply(encode_order('a', active=True, seen=0))
     assert not evacuated_domains(machine.orders)
-    assert machine.apply(command('a', active=True, seen=2))
+    assert machine.apply(encode_order('a', active=True, seen=2))
     assert evacuated_domains(machine.orders) == {'a'}
     assert [one.edition for one in lists] == [1, 2, 3]
 
@@ -175,7 +175,7 @@
 
 
 Step = tuple[str, bool, int]
-"""Domain, order, and how many editions the hub that read it lags behind."""
+"""Domain, whether to evacuate it, and how many editions the issuing hub lags behind."""
 
 
 @given(
@@ -188,15 +188,15 @@
 def test_accepted_orders_hold_until_a_later_one_in_any_interleaving(
     steps: list[Step], restored_at: int
 ) -> None:
-    machine = machine_of([])
+    machine = state_machine([])
     model: dict[str, bool] = {}
     changed_at: dict[str, int] = {}
     for number, (domain, active, lag) in enumerate(steps):
         if number == restored_at:
-            dumped, machine = machine.dump(), machine_of([])
+            dumped, machine = machine.dump(), state_machine([])
             machine.load(dumped)
         seen = max(0, machine.edition - lag)
-        accepted = machine.apply(command(domain, active=active, seen=seen))
+        accepted = machine.apply(encode_order(domain, active=active, seen=seen))
         stale = changed_at.get(domain, 0) > seen
         assert accepted == (model.get(domain, False) == active or not stale)
         if accepted and model.get(domain, False) != active:
@@ -209,11 +209,11 @@
 @given(order=st.permutations(range(6)))
 def test_processes_agree_whatever_order_editions_arrive_in(order: list[int]) -> None:
     lists: list[EvacuationList] = []
-    machine = machine_of(lists)
+    machine = state_machine(lists)
     for number in range(6):
         domain = DOMAINS[number % 2]
         active = number % 4 < 2
-        machine.apply(command(domain, active=active, seen=machine.edition))
+        machine.apply(encode_order(domain, active=active, seen=machine.edition))
     closed: list[frozenset[str]] = []
     evacuations = Evacuations(closed.append, Signal())
     for number in order:
@@ -229,7 +229,7 @@
     )
 
 
-def test_a_closed_domain_is_left_out_of_what_serves_until_it_is_reopened() -> None:
+def test_a_closed_domain_serves_nothing_until_it_is_reopened() -> None:
     registry = Registry(FakeClock(), Signal())
     for name, domain in (('e0', 'a'), ('e1', 'b')):
         registry.merge(upstream(name, domain), 'test')
--- a/tests/edge/test_hubs.py
+++ b/tests/edge/test_hubs.py
@@ -1,4 +1,4 @@
-"""Hubs found a group by themselves, and keep documents and upstreams."""
+"""Hubs form a group by themselves and replicate documents and upstreams."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    """Return a site of three hubs, of which one disk may be lost."""
+    """Return a site of three hubs that tolerates the loss of one disk."""
     async with running_site(tmp_path, hubs=3, boxes=2, disks_lost=1) as running:
         yield running
 
@@ -45,7 +45,7 @@
 
 
 async def leader_of(site: Site) -> Hub:
-    """Wait for a leader: there may be none at the moment, beside load."""
+    """Wait for a leader; on a loaded machine there may be none at the moment."""
 
     def leaders() -> list[Hub]:
         return [hub for hub in site.hubs if hub.replica and hub.replica.has_lease()]
@@ -66,7 +66,7 @@
 
 
 def live_hubs_vote(site: Site) -> bool:
-    """Tell whether the voters are the hubs that run, under their present ids."""
+    """Tell whether the voters are the running hubs, under their current ids."""
     replicas = [hub.replica for hub in site.hubs if hub.replica is not None]
     present = {replica.identity.replica for replica in replicas}
     return any(
@@ -75,7 +75,7 @@
     )
 
 
-async def test_three_hubs_found_one_group_of_three_voters(site: Site) -> None:
+async def test_three_hubs_form_one_group_of_three_voters(site: Site) -> None:
     await until(has_voters(site, 3))
     founders = [hub for hub in site.hubs if hub.replica and hub.replica.is_leader()]
     assert len(founders) == 1
@@ -123,7 +123,7 @@
     assert await site.read_surely() == document(1)
 
 
-async def test_the_first_content_under_a_version_stays(site: Site) -> None:
+async def test_the_first_content_under_a_version_is_kept(site: Site) -> None:
     other = document(7, limits={'tokensPerS': 5})
     first, second = await asyncio.gather(
         site.publish(document(7), 0),
@@ -132,7 +132,7 @@
     assert {first.code, second.code} == {200}
     read = await site.read_surely(2)
     assert read in (document(7), other)
-    # Whatever comes later under this or an older version alters nothing.
+    # Later content under this or an older version changes nothing.
     for version in (7, 3):
         assert (await site.publish(document(version, limits={}), 2)).code == 200
         assert await site.read_surely(0) == read
@@ -150,13 +150,13 @@
     await site.start_hub(again)
     await until(lambda: live_hubs_vote(site))
     assert await site.read_surely() == document(8)
-    # The second loss, right after the repair, is borne as well.
+    # The group also tolerates a second loss right after the repair.
     await site.kill_hub(await leader_of(site))
     await until_taken(site, document(9))
     assert await site.read_surely() == document(9)
 
 
-async def test_a_hub_at_another_address_takes_the_place_of_a_lost_one(
+async def test_a_hub_at_another_address_replaces_a_lost_one(
     site: Site,
     tmp_path: Path,
 ) -> None:
@@ -180,7 +180,7 @@
     assert (await site.publish(document(6))).code == 200
 
 
-async def test_without_a_majority_nothing_is_accepted_or_surely_read(
+async def test_without_a_majority_writes_and_consistent_reads_fail(
     site: Site,
 ) -> None:
     await until(has_voters(site, 3))
@@ -201,7 +201,7 @@
         await site.stop()
 
 
-async def test_word_of_a_leaving_upstream_reaches_boxes_by_any_hub(site: Site) -> None:
+async def test_a_departure_reported_to_any_hub_reaches_all_boxes(site: Site) -> None:
     for number, worker in enumerate(site.workers[:3]):
         await site.tell(worker, 2, 'draining', hub=number)
 
@@ -216,7 +216,7 @@
         )
 
     await until(all_know)
-    # A late report of earlier times does not bring it back.
+    # A delayed earlier report does not reactivate it.
     await site.tell(site.workers[0], 1, hub=1)
     await asyncio.sleep(0.3)
     assert all_know()
@@ -229,25 +229,25 @@
     await until(lambda: len(hub.state.registry.records) == 4)
 
 
-async def test_callers_are_told_the_boxes_that_are_ready(site: Site) -> None:
+async def test_the_directory_lists_the_ready_boxes(site: Site) -> None:
     hub = site.hubs[0]
 
-    async def told() -> list[str]:
+    async def listed() -> list[str]:
         path = '/api/resolve?name=x&zone=a&region=r'
         reply = await site.call('GET', hub.settings.directory_listen, path)
         return list(json.loads(reply.body)['addresses']) if reply.code == 200 else []
 
     async with asyncio.timeout(WAIT_SECONDS):
-        while len(await told()) < 2:
+        while len(await listed()) < 2:
             await asyncio.sleep(0.05)
         site.boxes[0].link.announce(ready=False)
-        while await told() != [site.boxes[1].settings.listen]:
+        while await listed() != [site.boxes[1].settings.listen]:
             await asyncio.sleep(0.02)
 
 
 @pytest.mark.parametrize('hub_first', [True, False])
 def test_a_hub_and_an_entry_box_may_share_a_machine(hub_first: bool) -> None:
-    # Three hubs of six were never admitted where both shared a machine.
+    # Guards against hubs that are never admitted: three of six, on shared machines.
     hub = Hello(box='m1', hub_address='10.0.0.1:7', replica='m1#1')
     entry = Hello(box='m1', entry_address='10.0.0.1:8')
     connected_boxes = ConnectedBoxes(boot_seconds, 'a')
@@ -262,20 +262,20 @@
 
 
 @pytest.mark.parametrize(
-    ('domain', 'seconds', 'told'),
+    ('domain', 'seconds', 'listed'),
     [('a', 1.4, True), ('a', 1.6, False), ('b', 2.9, True), ('b', 3.1, False)],
 )
-def test_a_box_that_says_nothing_is_left_out_after_three_frames(
+def test_a_silent_box_is_left_out_after_three_frames(
     domain: str,
     seconds: float,
-    told: bool,
+    listed: bool,
 ) -> None:
     clock = FakeClock()
     connected_boxes = ConnectedBoxes(clock, 'a')
     hello = Hello(box='m1', domain=domain, entry_address='10.0.0.1:8')
     connected_boxes.record_frame(connected_boxes.register(hello), BoxFrame(ready=True))
     clock.seconds += seconds
-    assert bool(connected_boxes.ready_entries()) == told
+    assert bool(connected_boxes.ready_entries()) == listed
 
 
 def upstream(name: str, sequence: int, phase: Phase = Phase.serving) -> Upstream:
@@ -309,7 +309,7 @@
     assert registry.records[UpstreamName('one')].phase is phase
 
 
-def test_a_late_report_of_an_earlier_life_does_not_end_the_present_one() -> None:
+def test_a_late_report_of_an_earlier_incarnation_does_not_end_the_current_one() -> None:
     registry = Registry(boot_seconds, Signal())
     registry.merge(upstream('new', 1), 'test')
     registry.merge(upstream('old', 9), 'test')
@@ -356,7 +356,7 @@
     ],
     ids=['own-domain', 'other-domain', 'other-domain-reports-here', 'hub'],
 )
-def test_news_goes_at_once_to_those_who_hear_it_from_no_nearer_hub(
+def test_updates_go_at_once_to_boxes_without_a_nearer_hub(
     hello: Hello, *, reports: bool, at_once: bool
 ) -> None:
     connected_boxes = ConnectedBoxes(FakeClock(), 'a')
@@ -365,7 +365,7 @@
     assert connected_boxes.gets_updates_at_once(connected_box) is at_once
 
 
-async def test_a_burst_of_news_reaches_a_box_in_few_frames(site: Site) -> None:
+async def test_a_burst_of_updates_reaches_a_box_in_few_frames(site: Site) -> None:
     accepted: list[int] = []
     link = site.boxes[0].link
     take = link._apply_frame
@@ -387,6 +387,6 @@
         await asyncio.sleep(0.005)
     await until(lambda: 'burst59' in link.known.registry.records)
     assert sum(accepted) >= 60
-    # However long the burst takes: each hub's frames are some time apart.
+    # The bound scales with the duration, since each hub sends frames at an interval.
     most = (loop.time() - began) / FRAME_INTERVAL_SECONDS + 2
     assert len([one for one in accepted if one]) <= len(site.hubs) * most
--- a/tests/edge/test_leaving_answers.py
+++ b/tests/edge/test_leaving_answers.py
@@ -1,12 +1,12 @@
-"""A box sends nothing to an upstream that said in an answer that it leaves.
+"""A box sends no further request to an upstream whose answer announces its drain.
 
-Upstreams that leave say so in all their answers, with ``Server-Leaving: 1``.  A hub
-that is told of it by the upstream tells all boxes, but a box that reaches no hub, or is
-answered before the report is in, has only the answer to go by.
+Draining upstreams set ``Server-Leaving: 1`` in all their answers.  A hub that the
+upstream notifies propagates it to all boxes, but a box that reaches no hub, or is
+answered before the report arrives, has only the answer.
 
-The header was read nowhere, and passed on to the caller with the others.  A box whose
-hub was gone sent such an engine 12 further requests of 12, and a plain service 5; each
-was answered well, so no line of its log told of it.
+Guards against ignoring the header, which was forwarded to the caller like any other.  A
+box without a hub sent such an engine 12 of 12 further requests, and a plain service 5;
+each succeeded, so the box logged nothing about it.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
     'fault',
     [Fault.none, Fault.shed, Fault.error, Fault.cut, Fault.stale, Fault.unsealed],
 )
-async def test_an_upstream_that_says_it_leaves_gets_nothing_more(
+async def test_an_upstream_that_announces_its_drain_gets_no_more_requests(
     site: Site,
     pool: str,
     scheduled: bool,
@@ -50,34 +50,34 @@
 ) -> None:
     if not scheduled:
         await site.kill_hub(site.hubs[0])
-    leaver, other = of_pool(site, pool)
-    leaver.leaving = True
-    leaver.misbehave(fault)
-    await ask_until_seen(site, leaver)
+    draining, other = of_pool(site, pool)
+    draining.leaving = True
+    draining.misbehave(fault)
+    await ask_until_seen(site, draining)
     statuses = await ask_often(site, pool, 12, 'more')
     assert statuses == [200] * 12
-    assert len(leaver.seen) == 1
+    assert len(draining.seen) == 1
     assert len(other.seen) >= 12
 
 
-async def test_reports_of_before_do_not_bring_a_leaving_upstream_back(
+async def test_later_reports_do_not_reactivate_a_draining_upstream(
     site: Site,
 ) -> None:
-    leaver, _ = of_pool(site, 'app')
-    leaver.leaving = True
-    await ask_until_seen(site, leaver)
-    # It reports itself as serving, later than its answer.
-    await site.tell(leaver, leaver.sequence + 5)
+    draining, _ = of_pool(site, 'app')
+    draining.leaving = True
+    await ask_until_seen(site, draining)
+    # The upstream reports itself as serving after its answer announced the drain.
+    await site.tell(draining, draining.sequence + 5)
     await site.start_worker('p3', 'app')
     await site.settle()
     assert await ask_often(site, 'app', 12, 'more') == [200] * 12
-    assert len(leaver.seen) == 1
+    assert len(draining.seen) == 1
 
 
-async def test_what_another_upstream_says_at_an_address_is_not_taken_for_its_word(
+async def test_an_answer_of_another_upstream_at_the_address_is_ignored(
     site: Site,
 ) -> None:
-    """An address may have gone to an upstream that leaves; it answers 421."""
+    """A draining upstream that has taken over an address answers 421."""
     named = of_pool(site, 'app')[0]
     called = named.name
     named.name, named.leaving = 'another', True
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize('earlier', [True, False])
-def test_the_next_life_of_an_upstream_that_left_is_sent_requests(
+def test_the_next_incarnation_of_a_drained_upstream_gets_requests(
     earlier: bool,
 ) -> None:
     left, newer = UpstreamName('e0/1'), UpstreamName('e0/2')
--- a/tests/edge/test_lives.py
+++ b/tests/edge/test_lives.py
@@ -1,8 +1,9 @@
-"""An upstream that starts again under its name is another one.
+"""An upstream that restarts under its name is a new incarnation.
 
-It holds nothing of before, and counts its reports anew: taken for the earlier life, its
-first reports were older than those that were known, its address stayed that of before,
-and after a departure no report of it counted any more.
+It holds nothing of the earlier incarnation, and numbers its reports from the start
+again.  Guards against taking it for the earlier one: its first reports looked older
+than the known ones, its address stayed the previous one, and after a departure all its
+reports were ignored.
 """
 
 import asyncio
@@ -31,8 +32,8 @@
 NAME = 'e0'
 POOL = PoolName('llm')
 PERIOD = 1.2
-FIRST = 1_700_000_000_000
-SECOND = FIRST + 9_000
+FIRST_START_MS = 1_700_000_000_000
+SECOND_START_MS = FIRST_START_MS + 9_000
 OLD = '10.0.0.1:80'
 NEW = '10.0.0.2:80'
 
@@ -40,22 +41,22 @@
 def report(
     born: int | None, sequence: int, address: str = OLD, **more: object
 ) -> Upstream:
-    """Return a report as it comes to a hub's door."""
-    said = {} if born is None else {'born': born}
+    """Return a report as a hub receives it."""
+    start = {} if born is None else {'born': born}
     body = {
         'service': POOL,
         'address': address,
         'slots': 4,
         'state': 'ready',
         'sequence': sequence,
-        **said,
+        **start,
         **more,
     }
     return decode_upstream(NAME, body)
 
 
 class Hub:
-    """The part of a hub that hears upstreams."""
+    """The part of a hub that receives reports of upstreams."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -63,7 +64,7 @@
         self.liveness = Liveness(self.registry, self.clock, PERIOD)
         self.placement = Placement(self.registry, OpenWorkTable(self.clock))
 
-    def hear(self, *reports: Upstream) -> None:
+    def receive(self, *reports: Upstream) -> None:
         for one in reports:
             self.liveness.report(one)
 
@@ -75,7 +76,7 @@
 
 
 class Case(NamedTuple):
-    """What a hub hears, and which addresses get new work then."""
+    """Reports that a hub receives, and the addresses that get new requests then."""
 
     heard: tuple[Upstream, ...]
     used: list[str]
@@ -84,64 +85,91 @@
 @pytest.mark.parametrize(
     'case',
     [
-        Case((report(FIRST, 50), report(SECOND, 1, NEW)), [NEW]),
-        # A late report of the earlier life, whatever it says.
-        Case((report(SECOND, 1, NEW), report(FIRST, 51)), [NEW]),
-        Case((report(SECOND, 1, NEW), report(FIRST, 51, state='draining')), [NEW]),
-        Case((report(FIRST, 50), report(SECOND, 1, NEW), report(FIRST, 51)), [NEW]),
+        Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW)), [NEW]),
+        # A late report of the earlier incarnation is ignored, whatever its state.
+        Case((report(SECOND_START_MS, 1, NEW), report(FIRST_START_MS, 51)), [NEW]),
         Case(
-            (report(SECOND, 2, NEW, state='draining'), report(FIRST, 51)),
+            (
+                report(SECOND_START_MS, 1, NEW),
+                report(FIRST_START_MS, 51, state='draining'),
+            ),
+            [NEW],
+        ),
+        Case(
+            (
+                report(FIRST_START_MS, 50),
+                report(SECOND_START_MS, 1, NEW),
+                report(FIRST_START_MS, 51),
+            ),
+            [NEW],
+        ),
+        Case(
+            (
+                report(SECOND_START_MS, 2, NEW, state='draining'),
+                report(FIRST_START_MS, 51),
+            ),
             [],
         ),
-        # A promise that was given for the earlier life binds that one only.
-        Case((report(FIRST, 50, state='draining'), report(SECOND, 1, NEW)), [NEW]),
-        # At its old address, as a process that is started again.
-        Case((report(FIRST, 50), report(SECOND, 1)), [OLD]),
-        # Upstreams that do not say when they started.
+        # The drain of the earlier incarnation does not apply to the later one.
+        Case(
+            (
+                report(FIRST_START_MS, 50, state='draining'),
+                report(SECOND_START_MS, 1, NEW),
+            ),
+            [NEW],
+        ),
+        # A process that restarts at its old address.
+        Case((report(FIRST_START_MS, 50), report(SECOND_START_MS, 1)), [OLD]),
+        # Upstreams that do not report their start time.
         Case((report(None, 5), report(None, 4, NEW)), [OLD]),
-        Case((report(None, 5), report(SECOND, 1, NEW)), [NEW]),
+        Case((report(None, 5), report(SECOND_START_MS, 1, NEW)), [NEW]),
     ],
 )
-def test_the_later_life_counts_whatever_its_sequence(case: Case) -> None:
+def test_the_later_incarnation_wins_whatever_its_sequence(case: Case) -> None:
     hub = Hub()
-    hub.hear(*case.heard)
+    hub.receive(*case.heard)
     assert hub.used() == case.used
 
 
-def test_a_departure_binds_the_life_that_left() -> None:
+def test_a_departure_applies_to_the_incarnation_that_left() -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50))
+    hub.receive(report(FIRST_START_MS, 50))
     hub.liveness.end(NAME)
-    hub.hear(report(FIRST, 51))
+    hub.receive(report(FIRST_START_MS, 51))
     assert not hub.used()
-    hub.hear(report(SECOND, 1, NEW))
+    hub.receive(report(SECOND_START_MS, 1, NEW))
     assert hub.used() == [NEW]
 
 
 @pytest.mark.parametrize(
     ('born', 'used'),
-    [(0, []), (SECOND, []), (FIRST, [NEW]), (SECOND + 1, [])],
+    [
+        (0, []),
+        (SECOND_START_MS, []),
+        (FIRST_START_MS, [NEW]),
+        (SECOND_START_MS + 1, []),
+    ],
 )
-def test_a_departure_that_names_a_life_ends_that_one(
+def test_a_departure_that_names_an_incarnation_ends_that_one(
     born: int, used: list[str]
 ) -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50), report(SECOND, 1, NEW))
+    hub.receive(report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW))
     hub.liveness.end(NAME, born)
-    hub.hear(report(SECOND, 2, NEW))
+    hub.receive(report(SECOND_START_MS, 2, NEW))
     assert hub.used() == used
 
 
-def test_a_life_that_seemed_earlier_leaves_as_any_other() -> None:
+def test_a_seemingly_earlier_incarnation_can_depart() -> None:
     hub = Hub()
-    hub.hear(report(SECOND, 50))
-    report_for(hub, SETTLED_SECONDS + PERIOD, FIRST, NEW)
+    hub.receive(report(SECOND_START_MS, 50))
+    report_periodically(hub, SETTLED_SECONDS + PERIOD, FIRST_START_MS, NEW)
     assert hub.used() == [NEW]
-    hub.liveness.end(NAME, FIRST)
+    hub.liveness.end(NAME, FIRST_START_MS)
     assert not hub.used()
 
 
-def learn_memory(hub: Hub, name: UpstreamName) -> None:
+def learn_prefixes(hub: Hub, name: UpstreamName) -> None:
     hub.placement.prefix_cache.record_prompt(name, prompt())
 
 
@@ -163,14 +191,14 @@
 
 @pytest.mark.parametrize(
     'learn',
-    [learn_memory, learn_failures, learn_slowness, learn_load],
+    [learn_prefixes, learn_failures, learn_slowness, learn_load],
 )
-def test_nothing_learned_of_a_life_is_held_against_the_next(learn: Learn) -> None:
+def test_nothing_learned_of_an_incarnation_applies_to_the_next(learn: Learn) -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50))
+    hub.receive(report(FIRST_START_MS, 50))
     before = hub.names()[0]
     learn(hub, before)
-    hub.hear(report(SECOND, 1))
+    hub.receive(report(SECOND_START_MS, 1))
     after = hub.names()[0]
     placement = hub.placement
     assert placement.prefix_cache.uncached(after, prompt()) == prompt().tokens
@@ -183,29 +211,29 @@
 @given(
     st.permutations(
         [
-            report(FIRST, 3),
-            report(FIRST, 4, state='draining'),
-            report(SECOND, 1, NEW),
-            report(SECOND, 2, NEW),
-            report(FIRST, 5),
+            report(FIRST_START_MS, 3),
+            report(FIRST_START_MS, 4, state='draining'),
+            report(SECOND_START_MS, 1, NEW),
+            report(SECOND_START_MS, 2, NEW),
+            report(FIRST_START_MS, 5),
         ],
     ),
     st.lists(st.integers(0, 4), max_size=6),
 )
-def test_all_that_hear_of_both_lives_end_alike(
+def test_processes_that_receive_both_incarnations_converge(
     order: list[Upstream],
     again: list[int],
 ) -> None:
     registry = Registry(FakeClock(), Signal())
     heard = order + [order[place] for place in again]
     for one in heard:
-        # As it travels from hub to box.
+        # The encoding in which hubs send records to boxes.
         registry.merge(decode_record(encode_upstream(one)), 'test')
     assert [one.address for one in registry.serving(POOL)] == [NEW]
     assert registry.serving(POOL)[0].sequence == 2
 
 
-async def test_nothing_waits_for_a_life_that_another_address_replaced(
+async def test_requests_do_not_wait_for_an_incarnation_replaced_elsewhere(
     tmp_path: Path,
 ) -> None:
     async with running_site(tmp_path) as site:
@@ -216,7 +244,7 @@
         before.ended = True
         for worker in site.workers:
             worker.misbehave(Fault.none, 0)
-        await site.start_worker(before.name, 'llm', born=SECOND)
+        await site.start_worker(before.name, 'llm', born=SECOND_START_MS)
         reply = await asked
     assert reply.code == 200
     assert sum(worker.ran.count('r1') for worker in site.workers) == 2
@@ -231,11 +259,13 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_life_is_used_and_named_as_it_reports_itself(tmp_path: Path) -> None:
+async def test_an_incarnation_is_used_under_its_reported_instance(
+    tmp_path: Path,
+) -> None:
     async with running_site(tmp_path) as site:
         for worker in list(site.workers):
             await worker.end()
-            await site.start_worker(worker.name, worker.pool, born=SECOND)
+            await site.start_worker(worker.name, worker.pool, born=SECOND_START_MS)
         await site.settle()
         reply = await site.ask('/u/x', 'r1')
     seen = [one for worker in site.workers for one in worker.seen]
@@ -244,42 +274,45 @@
 
 
 SETTLED_SECONDS = 12.0
-"""More than a clock that went back is believed after."""
+"""Longer than the time after which a start time that went back is accepted."""
 
 
-def report_for(hub: Hub, seconds: float, born: int, address: str) -> None:
-    """Let a life report itself every period, and the others be silent."""
+def report_periodically(hub: Hub, seconds: float, born: int, address: str) -> None:
+    """Let one incarnation report every period while the others are silent."""
     sequence = 1
     until = hub.clock.seconds + seconds
     while hub.clock.seconds < until:
-        hub.hear(report(born, sequence, address))
+        hub.receive(report(born, sequence, address))
         hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
         sequence += 1
 
 
-def test_a_life_that_seems_earlier_counts_once_the_later_one_is_silent() -> None:
-    # The machine's clock was set back between the two starts.
+def test_a_seemingly_earlier_incarnation_counts_once_the_later_is_silent() -> None:
+    # The clock of the machine was set back between the two starts.
     hub = Hub()
-    hub.hear(report(SECOND, 50))
-    report_for(hub, PERIOD, FIRST, NEW)
+    hub.receive(report(SECOND_START_MS, 50))
+    report_periodically(hub, PERIOD, FIRST_START_MS, NEW)
     assert hub.used() == [OLD]
-    report_for(hub, SETTLED_SECONDS, FIRST, NEW)
+    report_periodically(hub, SETTLED_SECONDS, FIRST_START_MS, NEW)
     assert hub.used() == [NEW]
 
 
-def test_a_life_that_seems_earlier_does_not_count_beside_one_that_reports() -> None:
+def test_a_seemingly_earlier_incarnation_is_ignored_beside_a_later_one() -> None:
     hub = Hub()
     for sequence in range(20):
-        hub.hear(report(SECOND, sequence, NEW), report(FIRST, sequence, OLD))
+        hub.receive(
+            report(SECOND_START_MS, sequence, NEW),
+            report(FIRST_START_MS, sequence, OLD),
+        )
         hub.registry.mark_unresponsive(4 * PERIOD)
         hub.clock.seconds += PERIOD
     assert hub.used() == [NEW]
 
 
-def test_an_upstream_is_forgotten_with_its_last_life() -> None:
+def test_an_upstream_expires_with_its_last_incarnation() -> None:
     hub = Hub()
-    hub.hear(report(FIRST, 50), report(SECOND, 1, NEW))
+    hub.receive(report(FIRST_START_MS, 50), report(SECOND_START_MS, 1, NEW))
     hub.liveness.end(NAME)
     hub.clock.seconds += GONE_RETENTION_SECONDS + 1
     hub.placement.forget_gone()
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism that decides can be switched off, and then decides nothing."""
+"""Each placement mechanism can be switched off, and then has no effect."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -16,25 +16,25 @@
 
 
 def scheduler_with(mechanisms: Mechanisms) -> Scheduler:
-    """Return a scheduler of a near engine e0 and a far one e1."""
+    """Return a scheduler with a near engine e0 and a far one e1."""
     scheduler = scheduler_of(FakeClock(), 2, mechanisms)
     far = replace(engine('e1'), domain='b', sequence=2)
     scheduler.placement.registry.merge(far, 'test')
     return scheduler
 
 
-def chosen(scheduler: Scheduler, one: PlacementQuery) -> str:
-    """Return where a request goes, or why it is refused."""
+def outcome_of(scheduler: Scheduler, one: PlacementQuery) -> str:
+    """Return the engine chosen for a request, or the reason of its refusal."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
         return decision.name
     return decision.upstream.name
 
 
-def long_one(scheduler: Scheduler) -> PlacementQuery:
-    """Return a long request whose subject e0 is taken to hold."""
+def long_query(scheduler: Scheduler) -> PlacementQuery:
+    """Return a long request whose subject is assumed to be cached at e0."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
-    return next(one for one in subjects if chosen(scheduler, one) == FIRST)
+    return next(one for one in subjects if outcome_of(scheduler, one) == FIRST)
 
 
 def flooded(scheduler: Scheduler) -> str:
@@ -50,19 +50,19 @@
 
 def nearest(scheduler: Scheduler) -> str:
     scheduler.add_open(('box', 1), FIRST, 100)
-    return chosen(scheduler, wanted(tokens=10))
+    return outcome_of(scheduler, wanted(tokens=10))
 
 
 def failed(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.placement.health.record_failure(FIRST, 'test')
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def slow(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.placement.health.record(FIRST).slowness = 30
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def crowded(scheduler: Scheduler) -> str:
@@ -72,22 +72,22 @@
 
 
 def cached(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     assert one.prompt is not None
     scheduler.placement.prefix_cache.record_prompt(UpstreamName('e1'), one.prompt)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def busy_with_the_subject(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.add_open(('box', 1), FIRST, 40_000)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def worth_the_wait(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.add_open(('box', 1), FIRST, 12_000)
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def _placed_or_refused(scheduler: Scheduler) -> str:
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""What of a caller's headers reaches an upstream."""
+"""Headers of a caller that reach an upstream."""
 
 import pytest
 
@@ -32,7 +32,7 @@
 )
 @pytest.mark.parametrize('change_case', [str, str.lower, str.upper, str.swapcase])
 @pytest.mark.parametrize('times', [1, 2])
-def test_fields_of_the_system_never_come_from_a_caller(
+def test_system_headers_are_never_taken_from_a_caller(
     name: str,
     change_case: type[str],
     times: int,
@@ -51,7 +51,9 @@
         ('Deadline-Ms', b'1500'),
     ],
 )
-def test_what_the_system_sets_stands_once_and_is_its_own(name: str, own: bytes) -> None:
+def test_system_headers_appear_once_with_the_value_of_the_box(
+    name: str, own: bytes
+) -> None:
     headers = forwarded((name, '7'), (name.lower(), '8'))
     texts = [text for one, text in headers if one.lower() == name.lower().encode()]
     assert texts == [own]
@@ -71,7 +73,7 @@
         ('', 900),
     ],
 )
-def test_the_callers_estimate_tells_what_an_engine_will_make(
+def test_the_callers_estimate_sets_the_expected_output(
     hint: str | None,
     expected: int,
 ) -> None:
@@ -94,15 +96,15 @@
         ('X-Hold', 'own of the caller'),
     ],
 )
-def test_what_a_caller_says_of_its_request_passes_unchanged(
+def test_request_headers_of_a_caller_are_forwarded_unchanged(
     header: tuple[str, str],
 ) -> None:
     name, text = header
     assert (name.encode(), text.encode()) in forwarded(header)
 
 
-def test_no_two_refusals_are_taken_for_each_other() -> None:
-    # Equal answers made one name an alias of the other, and logs told the wrong one.
+def test_refusals_are_distinct() -> None:
+    # Enum members with equal answers become aliases, and logs name the wrong one.
     assert len(Refusal.__members__) == len(list(Refusal))
 
 
@@ -126,7 +128,7 @@
         (421, '3', 0),
     ],
 )
-def test_an_upstream_that_turns_a_request_away_says_for_how_long(
+def test_the_backoff_of_a_rejected_request_is_read(
     status: int,
     given: str,
     pause: float,
@@ -143,11 +145,11 @@
         (500, [(b'SERVER-LEAVING', b'1')], True),
         (200, [(b'Server-Leaving', b'0')], False),
         (200, [], False),
-        # Another upstream answers at this address.
+        # The answer comes from another upstream at this address.
         (421, [(b'Server-Leaving', b'1')], False),
     ],
 )
-def test_an_upstream_says_in_its_answers_that_it_leaves(
+def test_an_upstream_announces_its_drain_in_its_answers(
     status: int,
     headers: list[tuple[bytes, bytes]],
     leaving: bool,
--- a/tests/edge/test_policies.py
+++ b/tests/edge/test_policies.py
@@ -1,4 +1,4 @@
-"""Repeats, events, hubs, stops, settings and logs, each by itself."""
+"""Unit tests of retries, events, known hubs, shutdown, settings and logs."""
 
 import json
 import os
@@ -25,7 +25,7 @@
 from tests.common.scheduling import POOL, FakeClock, scheduler_of
 
 
-def test_repeats_stay_within_the_budget_of_the_fleet() -> None:
+def test_retries_stay_within_the_fleet_budget() -> None:
     clock = FakeClock()
     budget = RetryBudget(0.2, 50, 10, clock)
     budget.boxes = 10
@@ -45,7 +45,7 @@
         [b'id: 1\r\ndata: a\r\n\r', b'\nid: 2\r\ndata: b\r\n\r\n'],
     ],
 )
-def test_only_whole_events_are_passed_on(pieces: list[bytes]) -> None:
+def test_only_whole_events_are_forwarded(pieces: list[bytes]) -> None:
     splitter = EventSplitter()
     passed = b''.join(splitter.feed(piece) for piece in pieces)
     assert passed == b''.join(pieces)
@@ -54,7 +54,7 @@
     assert splitter.last_id == '2'
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = [
         (b'Connection', b'close, X-Hop'),
         (b'X-Hop', b'1'),
@@ -72,7 +72,7 @@
         (0.1, 5.0, True, False),
         (0.1, 6.0, True, True),
         (2.0, 4.5, True, True),
-        # Both were taken and cut within their grace.
+        # Guards against accepting these and then cutting them within the grace period.
         (3.7, 1.0, True, True),
         (5.2, 0.5, True, True),
         (5.2, 0.5, False, False),
@@ -114,14 +114,15 @@
         (11, 0.4, 0.4),
     ],
 )
-def test_what_has_ended_so_far_says_little_of_a_route_just_begun(
+def test_early_durations_do_not_predict_those_of_a_new_route(
     watched: float, finished: float, longest: float
 ) -> None:
-    """Only short requests have ended when a route has been used for a second.
+    """Only short requests have completed when a route has been used for a second.
 
-    A box that was to stop 1.0 s after its first requests took streams for 1.2 s more,
-    by those that had ended; two of them, asked for at 2.21 s, lasted longer than its
-    grace and were cut at 8.67 s (``stopped``, then ``caller gone`` after 6.452 s).
+    Guards against estimating durations from these.  A box that was stopped 1.0 s after
+    its first requests accepted streams for 1.2 s more on that estimate; two of them,
+    received at 2.21 s, lasted longer than its grace period and were cut at 8.67 s
+    (``stopped``, then ``caller gone`` after 6.452 s).
     """
     clock = FakeClock()
     metrics = EntryMetrics(clock)
@@ -132,7 +133,7 @@
     assert metrics.longest_seconds(route) == longest
 
 
-def test_a_slow_reader_of_the_log_costs_lines_and_never_time() -> None:
+def test_a_slow_log_reader_loses_lines_and_never_blocks() -> None:
     reader, writer = os.pipe()
     output = BoundedOutput(writer, FakeClock())
     line = f'{json.dumps({"event": "x" * 500})}\n'
@@ -147,14 +148,14 @@
     os.close(writer)
 
 
-def test_hubs_that_nobody_names_are_tried_no_more() -> None:
+def test_hubs_that_are_no_longer_listed_are_not_tried() -> None:
     clock = FakeClock()
-    book = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
-    book.add_learned([Address('h:1')])
-    assert book.addresses() == ['h:1', 's:1']
+    known_hubs = KnownHubs(BoxName('box'), 'a', [Address('s:1')], clock)
+    known_hubs.add_learned([Address('h:1')])
+    assert known_hubs.addresses() == ['h:1', 's:1']
     clock.seconds += LEARNED_HUB_TTL_SECONDS + 1
-    book.add_learned([])
-    assert book.addresses() == ['s:1']
+    known_hubs.add_learned([])
+    assert known_hubs.addresses() == ['s:1']
 
 
 def test_counts_of_requests_do_not_grow_with_time() -> None:
@@ -166,11 +167,11 @@
     assert len(budget.requests[POOL]) <= 11
 
 
-def test_nothing_is_kept_for_a_scheduler_that_is_not_there() -> None:
+def test_nothing_is_queued_without_a_scheduler() -> None:
     scheduler = scheduler_of(FakeClock(), 1)
-    book = KnownHubs(BoxName('box'), 'a', [], FakeClock())
+    known_hubs = KnownHubs(BoxName('box'), 'a', [], FakeClock())
     registry = scheduler.placement.registry
-    link = PlacingLink('box', book, registry, 'token', scheduler.shares)
+    link = PlacingLink('box', known_hubs, registry, 'token', scheduler.shares)
     for _ in range(50):
         ticket = link.track(0, UpstreamName('e0'), 10)
         link.record_start(ticket)
@@ -180,27 +181,27 @@
     assert not link.open
 
 
-def test_a_hub_that_was_lost_altogether_schedules_again_when_it_is_back() -> None:
-    """Boxes agree on one scheduler soon after all hubs had lost power.
+def test_an_excluded_hub_schedules_again_after_a_loss_of_all_hubs() -> None:
+    """Boxes agree on one scheduler soon after a power loss of all hubs.
 
-    Accounts got unequal shares in a play: boxes that had lost the same hub twice
-    kept away from it for 8 s, the others did not, and two schedulers admitted a
-    whole capacity each.
+    Guards against unequal shares of accounts: boxes that had lost the same hub twice
+    excluded it for 8 s, the others did not, and two schedulers each admitted requests
+    for the whole capacity.
     """
     clock = FakeClock()
     seeds = [Address('h1:1'), Address('h2:1')]
-    book = KnownHubs(BoxName('box'), 'a', seeds, clock)
+    known_hubs = KnownHubs(BoxName('box'), 'a', seeds, clock)
     for address in seeds:
-        book.mark_reachable(address)
-    first = book.scheduler()
+        known_hubs.mark_reachable(address)
+    first = known_hubs.scheduler()
     assert first is not None
     for _ in range(2):
-        book.exclude_scheduler(first)
+        known_hubs.exclude_scheduler(first)
         clock.seconds += 0.5
-    assert book.scheduler() != first
-    book.mark_unreachable(first)
-    book.mark_reachable(first)
-    assert book.scheduler() == first
+    assert known_hubs.scheduler() != first
+    known_hubs.mark_unreachable(first)
+    known_hubs.mark_reachable(first)
+    assert known_hubs.scheduler() == first
 
 
 SETTINGS = """
--- a/tests/edge/test_scarce_engines.py
+++ b/tests/edge/test_scarce_engines.py
@@ -1,12 +1,13 @@
-"""Accounts share what engines give, though it is less than what is stated.
-
-Two accounts asked for far more than their share, one of them through a single box
-and less often.  In the same six seconds it got 695 thousand tokens and the other
-1,619 thousand.  The scheduler's lines `refused` named neither as over its share: the
-first had a `standing` of 0.46 in the middle, the second of 0.94, and both were
-`overloaded`, with a `queue` of 0.48 s.  Engines began 508 thousand tokens a second,
-and the even level was worked out from what the document states, which is more.  So
-nobody reached the level, nobody gave way, and a place went to who asked most often.
+"""Accounts get equal shares when engines process less than the document states.
+
+Guards against a fair share level that is computed from the stated capacity alone.  When
+engines process less, no account reaches that level, so none is held back, and the
+account that asks most often gets most.  Two accounts asked for far more than their
+share, one of them through a single box and less often: in the same six seconds it got
+695 thousand tokens and the other 1,619 thousand.  Engines started 508 thousand tokens a
+second, less than the document states.  In the log lines ``refused`` of the scheduler
+neither was over its share: both were ``overloaded`` with a ``queue`` of 0.48 s, at a
+median ``standing`` of 0.46 and 0.94.
 """
 
 import pytest
@@ -23,7 +24,7 @@
     wanted,
 )
 
-PACE = 20_000
+TOKENS_PER_SECOND = 20_000
 SECONDS = 40
 LARGE = {'often': 60, 'less': 30, 'least': 20}
 MIXED = {'big': 60, 'small': 4, 'tiny': 1}
@@ -31,28 +32,26 @@
 
 @pytest.mark.parametrize('asks', [LARGE, MIXED])
 @pytest.mark.parametrize('stated', [1.0, 1.25, 2.0, 4.0])
-def test_each_account_gets_its_even_share_of_what_engines_give(
+def test_each_account_gets_its_fair_share_of_what_engines_process(
     asks: dict[str, int],
     stated: float,
 ) -> None:
-    """``stated`` is a part of the pace at which the engine reads."""
-    granted = played(asks, PACE, SECONDS, int(PACE * stated))
+    """``stated`` is the stated capacity as a multiple of the engine's prefill rate."""
+    granted = played(asks, TOKENS_PER_SECOND, SECONDS, int(TOKENS_PER_SECOND * stated))
     asked = {name: 1000.0 * SECONDS * often for name, often in asks.items()}
     named = {account(name): amount for name, amount in asked.items()}
-    level = fair_share_level(named, PACE * SECONDS)
+    level = fair_share_level(named, TOKENS_PER_SECOND * SECONDS)
     for name, amount in asked.items():
         assert granted[name] > 0.8 * min(level, amount)
-    assert granted.total() > PACE * SECONDS * 0.95
+    assert granted.total() > TOKENS_PER_SECOND * SECONDS * 0.95
 
 
-def test_a_scheduler_that_has_just_taken_over_refuses_nobody_for_what_others_gave() -> (
-    None
-):
-    # What was asked of the scheduler before is told to the next one, and what that
-    # one gave is not: it must not count as refused.
+def test_a_new_scheduler_does_not_count_earlier_grants_as_refused() -> None:
+    # A new scheduler learns the demand on its predecessor but not the grants; the
+    # difference must not count as refused.
     clock = FakeClock()
     scheduler = scheduler_of(clock, 4)
-    offer(scheduler, 4 * PACE)
+    offer(scheduler, 4 * TOKENS_PER_SECOND)
     for name, tokens in (('large', 160_000), ('small', 8000), ('tiny', 4000)):
         scheduler.shares.count_elsewhere(account(name), tokens)
     for number, name in enumerate(arriving({'large': 40, 'small': 2}, clock, 2)):
