--- a/packages/daemon/src/hitchdeck_daemon/main.py
+++ b/packages/daemon/src/hitchdeck_daemon/main.py
@@ -60,7 +60,7 @@
         router = await start_router(settings)
     # What was made up to here stays; the collector need not look at it again.
     gc.freeze()
-    await _wait_for_end(stopping, control)
+    await _wait_for_stop(stopping, control)
     if router is not None:
         await router.drain()
         await router.stop()
@@ -69,7 +69,7 @@
     logs.info('stopped')
 
 
-async def _wait_for_end(
+async def _wait_for_stop(
     stopping: asyncio.Event,
     control: ControlProcess | None,
 ) -> None:
@@ -82,8 +82,8 @@
     if control is not None:
         failure = control.supervisor.wait_for_failure()
         waits.append(asyncio.ensure_future(failure))
-    ended, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for one in ended:
+    done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for one in done:
         one.result()
 
 
--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -36,7 +36,7 @@
 class Role:
     """A running role: its book of hubs, its tasks, and how it stops as planned."""
 
-    book: KnownHubs
+    known_hubs: KnownHubs
     supervisor: Supervisor
     stop: Callable[[], Awaitable[None]]
 
@@ -53,8 +53,8 @@
     except SettingsError as error:
         sys.stderr.write(f'hitchdeckd: {error}\n')
         sys.exit(BAD_SETTINGS)
-    about = _about(settings)
-    logs.set_up_stdout(box=about.box, domain=about.domain)
+    box_settings = _box_settings(settings)
+    logs.set_up_stdout(box=box_settings.box, domain=box_settings.domain)
     try:
         with asyncio.Runner(loop_factory=MeteredLoop) as runner:
             runner.run(_run(start, settings, path))
@@ -63,11 +63,11 @@
         sys.exit(FAILED)
 
 
-def _about(settings: PlatformSettings) -> BoxSettings:
-    about = settings.entry or settings.hub
-    if about is None:
+def _box_settings(settings: PlatformSettings) -> BoxSettings:
+    box_settings = settings.entry or settings.hub
+    if box_settings is None:
         raise SettingsError('these settings ask for neither an entry box nor a hub')
-    return about
+    return box_settings
 
 
 async def _run(start: Start, settings: PlatformSettings, path: Path) -> None:
@@ -82,13 +82,13 @@
     gc.freeze()
     watching = Supervisor('settings')
     watching.permanent('reload', lambda: _watch_settings(role, reload, path))
-    await _wait_for_end(stopping, role)
+    await _wait_for_stop(stopping, role)
     await watching.stop()
     await role.stop()
     logs.info('stopped')
 
 
-async def _wait_for_end(stopping: asyncio.Event, role: Role) -> None:
+async def _wait_for_stop(stopping: asyncio.Event, role: Role) -> None:
     """Wait for a signal, or raise if a task failed for good.
 
     A process whose disk failed ends at once, and is started again.
@@ -97,14 +97,14 @@
         asyncio.ensure_future(stopping.wait()),
         asyncio.ensure_future(role.supervisor.wait_for_failure()),
     ]
-    ended, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for one in ended:
+    done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for one in done:
         one.result()
 
 
 async def _watch_settings(role: Role, reload: asyncio.Event, path: Path) -> None:
     """Take new seeds from changed settings; for ever."""
-    known = _text_of(path)
+    known_text = _text_of(path)
     while True:
         try:
             await asyncio.wait_for(reload.wait(), RELOAD_SECONDS)
@@ -115,8 +115,8 @@
             signalled = True
         reload.clear()
         text = _text_of(path)
-        if text and (text != known or signalled):
-            known = text
+        if text and (text != known_text or signalled):
+            known_text = text
             _reload(role, path)
 
 
@@ -131,9 +131,9 @@
 
 def _reload(role: Role, path: Path) -> None:
     try:
-        about = _about(read_settings(path))
+        box_settings = _box_settings(read_settings(path))
     except SettingsError as error:
         logs.warning('settings unchanged', reason=str(error))
         return
-    role.book.replace_seeds(map(Address, about.seeds))
-    logs.info('settings reloaded', seeds=about.seeds)
+    role.known_hubs.replace_seeds(map(Address, box_settings.seeds))
+    logs.info('settings reloaded', seeds=box_settings.seeds)
--- a/packages/daemon/src/hitchdeck_daemon/platform_hub.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_hub.py
@@ -18,12 +18,12 @@
     if settings.hub is None:
         raise SettingsError('these settings ask for no hub')
     hub = await start_hub(settings.hub, read_document)
-    doors = start_servers(hub)
+    servers = start_servers(hub)
 
     async def stop() -> None:
         await asyncio.sleep(STOP_SECONDS)
-        for door in doors:
-            door.stop()
+        for server in servers:
+            server.stop()
         await hub.stop()
 
     return Role(hub.known_hubs, hub.supervisor, stop)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -82,7 +82,7 @@
             await asyncio.sleep(0.05)
 
 
-async def ask_addresses(router_port: int, key: str) -> list[str]:
+async def fetch_addresses(router_port: int, key: str) -> list[str]:
     """Ask which addresses to use, as callers do."""
     reply = await AsyncHTTPClient().fetch(
         HTTPRequest(
@@ -175,19 +175,19 @@
         await asyncio.sleep(0.1)
 
 
-async def use(fleet: Fleet) -> Findings:
+async def send_requests(fleet: Fleet) -> Findings:
     """Send everything."""
     findings = Findings()
     await wait_until_ready(fleet)
     watching = asyncio.create_task(watch_gap(fleet, findings))
     work = []
     for account, key in ACCOUNTS.items():
-        addresses = await ask_addresses(fleet.routers[0].port, key)
+        addresses = await fetch_addresses(fleet.routers[0].port, key)
         for number in range(_REQUESTS):
             address = addresses[number % len(addresses)]
             work.append(chat(address, account, number, findings))
     await asyncio.gather(*work)
-    addresses = await ask_addresses(
+    addresses = await fetch_addresses(
         fleet.routers[0].port,
         ACCOUNTS['rosters'],
     )
@@ -217,7 +217,7 @@
         path = folder / 'resources.toml'
         path.write_text(resources(fleet))
         print(fleet.hitchdeck('apply', str(path), '--wait').stdout, end='')
-        findings = asyncio.run(use(fleet))
+        findings = asyncio.run(send_requests(fleet))
         codes = fleet.stop()
     for name, code in codes.items():
         daemon = name.startswith(('control', 'router'))
--- a/tools/runtime_lock.py
+++ b/tools/runtime_lock.py
@@ -25,23 +25,23 @@
 
 def main() -> None:
     """Write the file."""
-    wanted: set[str] = set()
+    required: set[str] = set()
     for name in DIRECT:
-        gather(name, wanted)
+        collect_requirements(name, required)
     entries = read_entries((ROOT / 'requirements.lock').read_text())
-    kept = [entries[name] for name in sorted(wanted) if name in entries]
+    kept = [entries[name] for name in sorted(required) if name in entries]
     (ROOT / 'requirements-runtime.lock').write_text(HEADER + ''.join(kept))
 
 
-def gather(name: str, wanted: set[str]) -> None:
+def collect_requirements(name: str, required: set[str]) -> None:
     """Add a library and what it requires, extras left out."""
     normal = name.lower().replace('_', '-')
-    if normal in wanted:
+    if normal in required:
         return
-    wanted.add(normal)
+    required.add(normal)
     for requirement in requires(name) or ():
         if 'extra ==' not in requirement:
-            gather(re.split(r'[^A-Za-z0-9._-]', requirement)[0], wanted)
+            collect_requirements(re.split(r'[^A-Za-z0-9._-]', requirement)[0], required)
 
 
 def read_entries(lock: str) -> dict[str, str]:
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -174,14 +174,14 @@
 def fails_without(mechanism: Mechanism, scratch: Path) -> bool:
     """Tell whether the test notices that a mechanism is off."""
     path = scratch / mechanism.path
-    whole = path.read_text()
-    assert mechanism.present in whole, f'{mechanism.name}: text not found'
-    path.write_text(whole.replace(mechanism.present, mechanism.changed))
+    original = path.read_text()
+    assert mechanism.present in original, f'{mechanism.name}: text not found'
+    path.write_text(original.replace(mechanism.present, mechanism.changed))
     sources = sorted(str(one) for one in scratch.glob('packages/*/src'))
     environment = {**os.environ, 'PYTHONPATH': ':'.join(sources)}
     command = [sys.executable, '-m', 'pytest', '-x', '-k', mechanism.test]
     try:
-        ended = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=scratch,
             env=environment,
@@ -192,8 +192,8 @@
     except subprocess.TimeoutExpired:
         return True
     finally:
-        path.write_text(whole)
-    return ended.returncode == 1
+        path.write_text(original)
+    return completed.returncode == 1
 
 
 def main() -> int:
