--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -20,7 +20,7 @@
 
 from soak.faults import MS, Faults
 from soak.fleet import Program, claimed_fleet
-from soak.places import COLD_PER_SECOND, Places
+from soak.places import COLD_PER_SECOND, DomainOrders
 from soak.promises import SUCCESS, Answer, History
 from soak.proxy import Proxy
 from standins.platform_site import HOST, KEY, document
@@ -30,15 +30,15 @@
 CALLERS = 8
 PATHS = ('/s/', '/once/', '/u/', '/g/')
 LETHAL = 'lethal'
-PAUSE = '60'
+LONG_RETRY_AFTER = '60'
 """Seconds, as a worker says them; longer than what is asked of it then."""
 
-ALWAYS = 10_000
+UNLIMITED_REQUESTS = 10_000
 ROUNDS = 3
-CALM_SECONDS = 4.0
+RECOVERY_SECONDS = 4.0
 """Until all processes are in touch again and know what each other knows."""
 
-REPORTED_SECONDS = 0.8
+REPORT_SECONDS = 0.8
 """Until a worker that started again has reported itself."""
 
 SERVICES = (
@@ -52,7 +52,7 @@
     {'name': 'app', 'maxConns': 50},
 )
 
-FOREIGN = (
+FOREIGN_REPORTS = (
     '',
     '[',
     '[' * 10_000,
@@ -71,7 +71,7 @@
 )
 """What another writer may send in an upstream's name."""
 
-LOST = (HTTPClientError, HTTPStreamClosedError, HTTPTimeoutError, OSError)
+TRANSPORT_ERRORS = (HTTPClientError, HTTPStreamClosedError, HTTPTimeoutError, OSError)
 
 
 class Run:
@@ -88,7 +88,9 @@
         self.proxies: dict[str, Proxy] = {}
         self.history = History()
         self.client = AsyncHTTPClient(force_instance=True, max_clients=200)
-        self.places = Places(self.workers, self.history, self._fetch, self._control)
+        self.domain_orders = DomainOrders(
+            self.workers, self.history, self._fetch, self._control
+        )
         self.asked = 0
         self.version = 1
 
@@ -138,33 +140,38 @@
         proxies = list(self.proxies.values())
         faults = Faults(self.fleet, self.workers, proxies, self.seed)
         await self._run_under(faults, seconds)
-        await self._calm_down(faults)
-        await _end([reporting])
+        await self._check_after_recovery(faults)
+        await _cancel([reporting])
 
     async def _run_under(self, faults: Faults, seconds: float) -> None:
         """Let callers, operators and strangers at the fleet, under faults."""
-        works = [self._call() for _ in range(CALLERS)]
-        works += [self._operate(), self._intrude(), self._repeat_lethal(), faults.run()]
-        works.append(self.places.operate(self.random))
-        tasks = [asyncio.create_task(work) for work in works]
+        coroutines = [self._call() for _ in range(CALLERS)]
+        coroutines += [
+            self._change_configuration(),
+            self._send_foreign_reports(),
+            self._repeat_lethal(),
+            faults.run(),
+        ]
+        coroutines.append(self.domain_orders.operate(self.random))
+        tasks = [asyncio.create_task(work) for work in coroutines]
         await asyncio.sleep(seconds)
-        await _end(tasks)
+        await _cancel(tasks)
 
-    async def _calm_down(self, faults: Faults) -> None:
+    async def _check_after_recovery(self, faults: Faults) -> None:
         """Let everything come back, then send the lethal request to each box."""
-        await self._become_calm(faults)
-        await self.places.check(self._ask_each, self._restart_all)
+        await self._wait_for_recovery(faults)
+        await self.domain_orders.check(self._ask_each, self._restart_all)
         self.history.lethal_before = self._lethal_runs()
         for box in self.fleet.boxes * 2:
             await self._ask(self._next(LETHAL), '/s/', LETHAL, box)
-            await faults.revive_ended()
-            await asyncio.sleep(REPORTED_SECONDS)
+            await faults.restart_crashed()
+            await asyncio.sleep(REPORT_SECONDS)
         self.history.lethal_after = self._lethal_runs() - self.history.lethal_before
-        await self._ask_unwilling()
+        await self._check_refusing_workers()
 
-    async def _become_calm(self, faults: Faults) -> None:
-        await faults.calm()
-        await asyncio.sleep(CALM_SECONDS)
+    async def _wait_for_recovery(self, faults: Faults) -> None:
+        await faults.clear()
+        await asyncio.sleep(RECOVERY_SECONDS)
 
     async def _restart_all(self) -> None:
         for program in self.fleet.programs():
@@ -173,30 +180,32 @@
             program.end(1)
             self.fleet.write_settings(program, first=False)
             program.start()
-        await asyncio.sleep(CALM_SECONDS)
+        await asyncio.sleep(RECOVERY_SECONDS)
 
     async def _ask_each(self) -> None:
         for box in self.fleet.boxes * ROUNDS:
             for path in PATHS:
                 await self._ask(self._next('a'), path, box=box)
 
-    async def _ask_unwilling(self) -> None:
+    async def _check_refusing_workers(self) -> None:
         """Ask of workers that say that they leave, then of all, which want a pause."""
         leavers = [self.workers[0], self.workers[-1]]
         for leaver in leavers:
             leaver.leaving = True
         await self._count_sent(leavers)
         for worker in self.workers:
-            worker.pause = PAUSE
-            worker.misbehave(Fault.shed, ALWAYS)
+            worker.pause = LONG_RETRY_AFTER
+            worker.misbehave(Fault.shed, UNLIMITED_REQUESTS)
         await self._count_sent(self.workers)
 
-    async def _count_sent(self, unwilling: list[Worker]) -> None:
-        before = [len(worker.seen) for worker in unwilling]
+    async def _count_sent(self, refusing: list[Worker]) -> None:
+        before = [len(worker.seen) for worker in refusing]
         await self._ask_each()
         most = len(self.fleet.boxes)
-        for worker, known in zip(unwilling, before, strict=True):
-            self.history.unwilling.append((worker.name, len(worker.seen) - known, most))
+        for worker, known in zip(refusing, before, strict=True):
+            self.history.request_limits.append(
+                (worker.name, len(worker.seen) - known, most)
+            )
 
     def _lethal_runs(self) -> int:
         ran = [one for worker in self.workers for one in worker.ran]
@@ -234,10 +243,10 @@
             await asyncio.sleep(self.random.uniform(0.5, 1.5))
             await self._ask(self._next(LETHAL), '/s/', LETHAL)
 
-    async def _intrude(self) -> None:
+    async def _send_foreign_reports(self) -> None:
         """Send hubs what no upstream says."""
         while True:
-            body = self.random.choice(FOREIGN)
+            body = self.random.choice(FOREIGN_REPORTS)
             url = f'http://{self._control()}/api/instances/w0'
             status, _ = await self._fetch(HTTPRequest(url, 'PUT', body=body))
             self.history.foreign.append((body, status))
@@ -279,7 +288,7 @@
             self.history.accepted = max(self.history.accepted, self.version)
         return status == SUCCESS
 
-    async def _operate(self) -> None:
+    async def _change_configuration(self) -> None:
         while True:
             self.version += 1
             await self._publish()
@@ -296,13 +305,13 @@
         request.connect_timeout = 1
         try:
             reply = await self.client.fetch(request, raise_error=False)
-        except LOST:
+        except TRANSPORT_ERRORS:
             # A lost answer is part of the history: nothing is known of it.
             return 0, ''
         return reply.code, reply.body.decode() if reply.body else ''
 
 
-async def _end(tasks: list[asyncio.Task[None]]) -> None:
+async def _cancel(tasks: list[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -322,16 +331,16 @@
     """
     failed = 0
     for number in range(seed, seed + seeds):
-        with tempfile.TemporaryDirectory() as passing:
-            folder = Path(keep or passing) / str(number)
+        with tempfile.TemporaryDirectory() as temporary:
+            folder = Path(keep or temporary) / str(number)
             folder.mkdir(parents=True)
             run = Run(folder, number)
             broken = asyncio.run(run.play(seconds))
         served = sum(one.status == SUCCESS for one in run.history.answers)
         history = run.history
-        told = f'{len(history.answers)} asked, {served} served'
-        told += f', {history.lethal_before} + {history.lethal_after} lethal'
-        sys.stdout.write(f'seed {number}: {told}, {len(broken)} broken\n')
+        summary = f'{len(history.answers)} asked, {served} served'
+        summary += f', {history.lethal_before} + {history.lethal_after} lethal'
+        sys.stdout.write(f'seed {number}: {summary}, {len(broken)} broken\n')
         sys.stdout.writelines(f'  {line}\n' for line in broken[:10])
         failed += bool(broken)
     sys.exit(1 if failed else 0)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -10,12 +10,12 @@
 from soak.proxy import LinkState, Proxy
 from standins.platform_worker import Fault, Worker
 
-GRACE_SECONDS = 3.0
+STOP_GRACE_SECONDS = 3.0
 """Between SIGTERM and SIGKILL, as the settings say."""
 
 MS = 1000
 
-PAUSES = ('', '', '0.2', '1', 'soon', '-1', '1e-9')
+RETRY_AFTER_VALUES = ('', '', '0.2', '1', 'soon', '-1', '1e-9')
 """What a worker may say with a request that it turns away."""
 
 Injection = Callable[[], Awaitable[None]]
@@ -38,8 +38,8 @@
         self.workers = workers
         self.proxies = proxies
         self.random = random.Random(seed)
-        self.hub_away = asyncio.Lock()
-        self.told: list[str] = []
+        self.hub_down = asyncio.Lock()
+        self.injected: list[str] = []
 
     async def run(self) -> None:
         """Inject one fault after another, without waiting for their ends."""
@@ -50,24 +50,24 @@
             self.kill_hub,
             self.freeze_hub,
             self.lose_hub_disk,
-            self.spoil_worker,
-            self.spoil_worker,
-            self.spoil_worker,
-            self.restart_worker,
-            self.restart_worker,
+            self.make_worker_misbehave,
+            self.make_worker_misbehave,
+            self.make_worker_misbehave,
+            self.crash_worker,
+            self.crash_worker,
             self.disturb_link,
             self.disturb_link,
             self.reset_link,
         ]
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.revive_workers())
+            group.create_task(self.restart_crashed_regularly())
             while True:
                 await asyncio.sleep(self.random.uniform(0.1, 0.6))
                 injection = self.random.choice(injections)
-                self.told.append(injection.__name__)
+                self.injected.append(injection.__name__)
                 group.create_task(injection())
 
-    async def calm(self) -> None:
+    async def clear(self) -> None:
         """Bring back everything that is away, and let all links be whole."""
         for program in self.fleet.programs():
             program.signal(signal.SIGCONT)
@@ -77,7 +77,7 @@
             await proxy.change(LinkState.whole)
         for worker in self.workers:
             worker.faults_left = 0
-        await self.revive_ended()
+        await self.restart_crashed()
 
     async def kill_box(self) -> None:
         """Kill an entry box and start it again."""
@@ -87,7 +87,7 @@
         """Stop an entry box as planned and start it again."""
         box = self.random.choice(self.fleet.boxes)
         box.signal(signal.SIGTERM)
-        await asyncio.to_thread(box.end, GRACE_SECONDS)
+        await asyncio.to_thread(box.end, STOP_GRACE_SECONDS)
         box.start()
 
     async def freeze_box(self) -> None:
@@ -96,17 +96,17 @@
 
     async def kill_hub(self) -> None:
         """Kill a hub and start it again."""
-        async with self.hub_away:
+        async with self.hub_down:
             await self._kill(self.random.choice(self.fleet.hubs))
 
     async def freeze_hub(self) -> None:
         """Freeze a hub for a moment."""
-        async with self.hub_away:
+        async with self.hub_down:
             await self._freeze(self.random.choice(self.fleet.hubs))
 
     async def lose_hub_disk(self) -> None:
         """Kill a hub, empty its disk, start it, and let the group repair."""
-        async with self.hub_away:
+        async with self.hub_down:
             hub = self.random.choice(self.fleet.hubs)
             hub.signal(signal.SIGKILL)
             await asyncio.to_thread(hub.end, 1)
@@ -116,26 +116,26 @@
             # The loss counts until the newcomer has caught up.
             await asyncio.sleep(4)
 
-    async def spoil_worker(self) -> None:
+    async def make_worker_misbehave(self) -> None:
         """Let a worker misbehave on its next requests."""
         worker = self.random.choice(self.workers)
         fault = self.random.choice(list(Fault))
-        worker.pause = self.random.choice(PAUSES)
+        worker.pause = self.random.choice(RETRY_AFTER_VALUES)
         worker.misbehave(fault, self.random.randint(1, 5))
 
-    async def restart_worker(self) -> None:
+    async def crash_worker(self) -> None:
         """End a worker as a crash does; it comes back under its name."""
         worker = self.random.choice(self.workers)
         if not worker.ended:
             await worker.end()
 
-    async def revive_workers(self) -> None:
+    async def restart_crashed_regularly(self) -> None:
         """Start workers again that have ended, whatever ended them; for ever."""
         while True:
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
-            await self.revive_ended()
+            await self.restart_crashed()
 
-    async def revive_ended(self) -> None:
+    async def restart_crashed(self) -> None:
         """Start workers again that have ended."""
         for worker in self.workers:
             if worker.ended:
--- a/soak/places.py
+++ b/soak/places.py
@@ -20,21 +20,21 @@
 """Until an order is accepted, when calm."""
 
 COLD_PER_SECOND = 4.0
-COLD_LEFT_MS = 3000.0
-MOST_IN_A_SECOND = 11
+COLD_REMAINING_MS = 3000.0
+COLD_REQUESTS_PER_SECOND_LIMIT = 11
 """1.5 times the stated rate, and 5."""
 
-FLOODING = 6
+FLOOD_CALLERS = 6
 """Callers that ask every box at once."""
 
-LOOK_SECONDS = 0.05
+SAMPLE_SECONDS = 0.05
 
 Fetch = Callable[[HTTPRequest], Awaitable[tuple[int, str]]]
 Step = Callable[[], Awaitable[None]]
 """Sends some requests to every box, or restarts every program."""
 
 
-class Places:
+class DomainOrders:
     """Gives orders, and counts what upstreams get against them."""
 
     def __init__(
@@ -49,11 +49,11 @@
         self.fetch = fetch
         self.control = control
 
-    async def operate(self, chance: random.Random) -> None:
+    async def operate(self, generator: random.Random) -> None:
         """Evacuate and reopen a domain again and again; for ever."""
         while True:
-            await asyncio.sleep(chance.uniform(0.3, 2))
-            await self.order(active=chance.choice((True, False)))
+            await asyncio.sleep(generator.uniform(0.3, 2))
+            await self.order(active=generator.choice((True, False)))
 
     async def order(self, *, active: bool) -> bool:
         """Send an order once; tell whether it was accepted."""
@@ -63,7 +63,7 @@
         status, _ = await self.fetch(request)
         return status == SUCCESS
 
-    async def insist(self, *, active: bool) -> None:
+    async def order_until_accepted(self, *, active: bool) -> None:
         """Send an order until it is accepted, and wait until it is in force."""
         async with asyncio.timeout(ORDER_SECONDS):
             while not await self.order(active=active):
@@ -73,7 +73,7 @@
     async def check(self, ask_each: Step, restart_all: Step) -> None:
         """Check a cold upstream, and an order before and after all has restarted."""
         await self.check_cold(ask_each)
-        await self.insist(active=True)
+        await self.order_until_accepted(active=True)
         await self.check_evacuated('accepted', ask_each)
         await restart_all()
         await self.check_evacuated('all restarted', ask_each)
@@ -85,26 +85,30 @@
         before = sum(len(one.seen) for one in closed)
         await ask_each()
         sent = sum(len(one.seen) for one in closed) - before
-        self.history.unwilling.append((f'evacuated upstreams, {when},', sent, 0))
+        self.history.request_limits.append((f'evacuated upstreams, {when},', sent, 0))
 
     async def check_cold(self, ask_each: Step) -> None:
         """Note the most that a cold upstream gets in a second of a flood."""
         for worker in self.workers:
-            worker.cold_left_ms = COLD_LEFT_MS if worker is self.workers[0] else 0
-        await self.insist(active=False)
+            worker.cold_left_ms = COLD_REMAINING_MS if worker is self.workers[0] else 0
+        await self.order_until_accepted(active=False)
         cold = self.workers[0]
-        flood = asyncio.gather(*(ask_each() for _ in range(FLOODING)))
+        flood = asyncio.gather(*(ask_each() for _ in range(FLOOD_CALLERS)))
         counts: list[tuple[float, int]] = []
         while not flood.done():
             counts.append((time.monotonic(), len(cold.seen)))
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(SAMPLE_SECONDS)
         cold.cold_left_ms = 0
-        self.history.unwilling.append(
-            ('a cold upstream', _most_in_a_second(counts), MOST_IN_A_SECOND),
+        self.history.request_limits.append(
+            (
+                'a cold upstream',
+                _max_in_a_second(counts),
+                COLD_REQUESTS_PER_SECOND_LIMIT,
+            ),
         )
 
 
-def _most_in_a_second(counts: list[tuple[float, int]]) -> int:
+def _max_in_a_second(counts: list[tuple[float, int]]) -> int:
     """Return the most between two looks that are at most a second apart."""
     return max(
         later - earlier
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -8,8 +8,8 @@
 REFUSALS = frozenset((0, *range(400, 500)))
 """How an entry of another writer may be answered; 0 where no answer came."""
 
-ENOUGH_ENDS = 3
-MOST_LATE = 3
+MIN_LETHAL_CRASHES = 3
+MAX_LATE_RUNS = 3
 """Upstreams that a content may reach after enough have ended, all in touch."""
 
 
@@ -40,13 +40,17 @@
     foreign: list[tuple[str, int]] = field(default_factory=list)
     lethal_before: int = 0
     lethal_after: int = 0
-    unwilling: list[tuple[str, int, int]] = field(default_factory=list)
+    request_limits: list[tuple[str, int, int]] = field(default_factory=list)
 
     def broken(self, ran: Counter[str]) -> list[str]:
         """Return a line for each broken promise; ``ran`` counts by attempt."""
-        lines = [line for one in self.answers for line in _judge(one, ran[one.attempt])]
-        strangers = set(ran) - self.asked
-        lines.extend(f'{one} ran and nobody asked' for one in sorted(strangers))
+        lines = [
+            line
+            for one in self.answers
+            for line in _check_answer(one, ran[one.attempt])
+        ]
+        unrequested = set(ran) - self.asked
+        lines.extend(f'{one} ran and nobody asked' for one in sorted(unrequested))
         lines.extend(
             f'version {read} was read after {accepted} was accepted'
             for accepted, read in self.reads
@@ -57,17 +61,20 @@
             for body, status in self.foreign
             if status not in REFUSALS
         )
-        if self.lethal_before >= ENOUGH_ENDS and self.lethal_after > MOST_LATE:
+        if (
+            self.lethal_before >= MIN_LETHAL_CRASHES
+            and self.lethal_after > MAX_LATE_RUNS
+        ):
             lines.append(f'a lethal request ended {self.lethal_after} more when calm')
         lines.extend(
             f'{name} got {sent} requests and wanted {most} at most'
-            for name, sent, most in self.unwilling
+            for name, sent, most in self.request_limits
             if sent > most
         )
         return lines
 
 
-def _judge(answer: Answer, runs: int) -> list[str]:
+def _check_answer(answer: Answer, runs: int) -> list[str]:
     lines: list[str] = []
     once = answer.path.startswith(('/u/', '/once/'))
     if once and runs > 1:
@@ -75,11 +82,11 @@
     if once and runs and answer.status in NOT_RUN:
         lines.append(f'{answer.attempt} ran and was refused with {answer.status}')
     if answer.status == SUCCESS and answer.whole:
-        lines.extend(_judge_success(answer, runs))
+        lines.extend(_check_success(answer, runs))
     return lines
 
 
-def _judge_success(answer: Answer, runs: int) -> list[str]:
+def _check_success(answer: Answer, runs: int) -> list[str]:
     if not runs:
         return [f'{answer.attempt} succeeded and never ran']
     if answer.path.startswith(('/s/', '/once/')):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 _NO_LINGER = struct.pack('ii', 1, 0)
 
@@ -94,30 +94,34 @@
     ) -> None:
         host, _, port = self.target.rpartition(':')
         try:
-            there = await asyncio.open_connection(host, int(port))
+            target_streams = await asyncio.open_connection(host, int(port))
         except OSError:
             # The program is down: its callers see a connection that ends.
             writer.transport.abort()
             return
-        ends = {writer, there[1]}
-        self.writers |= ends
+        pair = {writer, target_streams[1]}
+        self.writers |= pair
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(reader, there[1], Direction.forth))
-                group.create_task(self._pass(there[0], writer, Direction.back))
+                group.create_task(
+                    self._forward(reader, target_streams[1], Direction.forth)
+                )
+                group.create_task(
+                    self._forward(target_streams[0], writer, Direction.back)
+                )
         finally:
-            self.writers -= ends
+            self.writers -= pair
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: Direction,
     ) -> None:
         try:
-            while piece := await reader.read(PIECE_BYTES):
+            while chunk := await reader.read(CHUNK_BYTES):
                 await self._wait(direction)
-                writer.write(piece)
+                writer.write(chunk)
             await self._wait(direction)
         except ConnectionError:
             # A reset on one side is a reset on the other.
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -51,5 +51,5 @@
 
 
 def test_requests_to_an_upstream_that_wants_none_are_told() -> None:
-    history = History(unwilling=[('w0', 3, 3), ('w1', 4, 3)])
+    history = History(request_limits=[('w0', 3, 3), ('w1', 4, 3)])
     assert len(history.broken(Counter())) == 1
