--- a/packages/cli/src/hitchdeck_cli/__init__.py
+++ b/packages/cli/src/hitchdeck_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command-line interface for operators."""
--- a/packages/cli/src/hitchdeck_cli/connection.py
+++ b/packages/cli/src/hitchdeck_cli/connection.py
@@ -1,4 +1,4 @@
-"""How the command line reaches the fleet."""
+"""Connection from the command line to the control group."""
 
 import asyncio
 import getpass
@@ -25,10 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """Control addresses, token, and who the operator is.
+    """Control addresses, bearer token and identity of the operator.
 
-    ``number`` identifies a command together with ``operator``: a command
-    that is sent again under the same number is answered, not run again.
+    ``operator`` and ``number`` together are the idempotency key of a command:
+    a command that is resent with both unchanged returns the stored outcome and
+    is not run again.  ``seconds`` is the timeout of a call.
     """
 
     addresses: tuple[Address, ...]
@@ -38,17 +39,17 @@
     seconds: float
 
     def run(self, work: Work[Answer]) -> Answer:
-        """Do some work against the control group.
+        """Run a coroutine with a client of the control group.
 
         Raises
         ------
         CommandError
-            With the exit code that belongs to what went wrong.
+            If the call fails; carries the matching exit code.
         """
         return asyncio.run(self._run(work))
 
     async def execute(self, client: ControlClient, command: Command) -> Applied:
-        """Run a command; a refusal becomes a ``CommandError``."""
+        """Run a command; raise ``CommandError`` if it is refused."""
         outcome = await client.execute(
             command,
             self.seconds,
@@ -74,7 +75,7 @@
         except LinkError as error:
             raise CommandError(
                 ExitCode.failed,
-                f'{error}; send it again with --operator={self.operator} '
+                f'{error}; retry with --operator={self.operator} '
                 f'--number={self.number}',
             ) from error
         finally:
@@ -88,12 +89,12 @@
     number: int,
     seconds: float,
 ) -> Connection:
-    """Return a connection from flags, or from the environment for blanks."""
+    """Return a connection; empty flags fall back to environment variables."""
     addresses = control or os.environ.get(CONTROL_VARIABLE, '')
     if not addresses:
         raise CommandError(
             ExitCode.bad_input,
-            f'name the control boxes: --control=IP:port,... or {CONTROL_VARIABLE}',
+            f'no control boxes given; set --control=IP:port,... or {CONTROL_VARIABLE}',
         )
     return Connection(
         addresses=tuple(check_control_address(one) for one in addresses.split(',')),
@@ -105,7 +106,7 @@
 
 
 def check_control_address(text: str) -> Address:
-    """Return an address, or raise ``CommandError`` naming what is wrong."""
+    """Return a validated address, or raise ``CommandError``."""
     try:
         return Address(check_address(text.strip()))
     except ValueError as error:
--- a/packages/cli/src/hitchdeck_cli/documents.py
+++ b/packages/cli/src/hitchdeck_cli/documents.py
@@ -1,4 +1,4 @@
-"""Resource files: TOML with a list of tables for each kind.
+"""Resource files: TOML with one array of tables per resource kind.
 
 ::
 
@@ -21,7 +21,7 @@
 
 
 def read_resources(path: Path) -> list[Resource]:
-    """Return the resources of a file, or raise ``CommandError``."""
+    """Return the resources of a file, or raise ``CommandError`` if it is invalid."""
     try:
         content = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -40,10 +40,10 @@
     if kind not in kinds:
         raise CommandError(
             ExitCode.bad_input,
-            f'{path}: {kind!r} is not a kind; kinds are {", ".join(kinds)}',
+            f'{path}: unknown kind {kind!r}; kinds are {", ".join(kinds)}',
         )
     if not isinstance(tables, list):
-        raise CommandError(ExitCode.bad_input, f'{path}: write [[{kind}]]')
+        raise CommandError(ExitCode.bad_input, f'{path}: expected [[{kind}]] tables')
     return tables
 
 
--- a/packages/cli/src/hitchdeck_cli/domains.py
+++ b/packages/cli/src/hitchdeck_cli/domains.py
@@ -1,4 +1,4 @@
-"""Evacuating failure domains: rules on the upstreams with their label."""
+"""Evacuates failure domains by rules that select upstreams by label."""
 
 from hitchdeck_cli.errors import CommandError, ExitCode
 from hitchdeck_core.commands import Delete, Put
@@ -6,13 +6,13 @@
 from hitchdeck_core.resources import Effect, Rule, Upstream
 
 DOMAIN_LABEL = 'domain'
-"""Label of an upstream that names its failure domain."""
+"""Upstream label that holds the name of its failure domain."""
 
 _PREFIX = 'evacuate'
 
 
 def evacuation_of(domain: str) -> Put:
-    """Return the command that closes a domain's upstreams to new work."""
+    """Return the command that stops new requests to a domain's upstreams."""
     rule = Rule(
         name=_rule_name(domain),
         effect=Effect.leaving,
@@ -22,17 +22,17 @@
 
 
 def reopening_of(domain: str) -> Delete:
-    """Return the command that reopens a domain's upstreams."""
+    """Return the command that removes the evacuation rule of a domain."""
     return Delete(kind='rule', name=_rule_name(domain))
 
 
 def is_evacuated(domain: str, known: ResourceList) -> bool:
-    """Tell whether a rule closes a domain."""
+    """Return whether an evacuation rule exists for a domain."""
     return any(one.resource.name == _rule_name(domain) for one in known.resources)
 
 
 def check_domain(domain: str, known: ResourceList) -> None:
-    """Raise ``CommandError`` unless some upstream is in a domain."""
+    """Raise ``CommandError`` if no upstream belongs to a domain."""
     domains = {
         one.resource.labels[DOMAIN_LABEL]
         for one in known.resources
--- a/packages/cli/src/hitchdeck_cli/errors.py
+++ b/packages/cli/src/hitchdeck_cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line, each with its exit code."""
+"""Errors of the command line and their exit codes."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit code of ``hitchdeck`` says."""
+    """Exit codes of ``hitchdeck``."""
 
     done = 0
     failed = 1
@@ -17,7 +17,7 @@
 
 
 class CommandError(HitchdeckError):
-    """Raised when a command can't be carried out; says why and how it exits."""
+    """Raised when a command fails; holds the reason and the exit code."""
 
     def __init__(self, code: ExitCode, reason: str) -> None:
         super().__init__(reason)
--- a/packages/cli/src/hitchdeck_cli/group.py
+++ b/packages/cli/src/hitchdeck_cli/group.py
@@ -1,4 +1,4 @@
-"""``hitchdeck control ...``: founding and repairing the control group."""
+"""``hitchdeck control ...``: initializes and repairs the control group."""
 
 import asyncio
 
@@ -23,21 +23,21 @@
 
 
 class GroupCommands:
-    """The control group: init, members, replace."""
+    """Commands on the control group: init, members, replace."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
 
     def init(self) -> None:
-        """Make the boxes named by --control a new group.
+        """Initialize a new group from the boxes given by --control.
 
-        Every box must answer, with a data folder that belongs to no other
-        group.  May be repeated until it succeeds.
+        Every box must be reachable, and its data folder must not belong to
+        another group.  Idempotent: retry until it succeeds.
         """
         asyncio.run(self._init())
 
     def members(self, *, json: bool = False) -> None:
-        """Show what each box named by --control says of itself."""
+        """Show the state that each box given by --control reports."""
         replies = asyncio.run(self._identify_all())
         rows = [
             {
@@ -55,10 +55,10 @@
         print_rows(rows, as_json=json)
 
     def replace(self, address: str) -> None:
-        """Take up the box at an address after it lost its disk.
+        """Replace the replica of a box that lost its disk.
 
-        Returns once the box has caught up and votes; only then does the
-        group survive the loss of another one.
+        Returns once the box has caught up with the log and is a voter; only
+        then does the group tolerate the loss of another box.
         """
         asyncio.run(self._replace(Address(address)))
 
@@ -75,7 +75,7 @@
         ]
         boxes = {member.box for member in members}
         if len(boxes) < len(members):
-            raise CommandError(ExitCode.bad_input, 'a box is named twice')
+            raise CommandError(ExitCode.bad_input, 'a box is listed more than once')
         for member in members:
             reply = await self._found(Address(member.address), members)
             if reply.error:
@@ -124,7 +124,7 @@
                 raise CommandError(ExitCode.refused, reply.error)
             print_line(f'{identity.box}: {identity.replica} votes')
             return
-        raise CommandError(ExitCode.failed, 'no leader among the boxes named')
+        raise CommandError(ExitCode.failed, 'none of the given boxes is the leader')
 
     async def _ask_to_replace(
         self,
--- a/packages/cli/src/hitchdeck_cli/main.py
+++ b/packages/cli/src/hitchdeck_cli/main.py
@@ -1,7 +1,7 @@
-"""``hitchdeck``: the operators' command line.
+"""``hitchdeck``: the command line for operators.
 
 Exit codes: 0 done, 1 failed or unreachable, 2 bad input, 3 refused (conflict),
-4 not in force in time, 5 not authorized.
+4 not in force before the timeout, 5 not authorized.
 """
 
 import secrets
@@ -50,7 +50,7 @@
 
 
 class Hitchdeck:
-    """Steer a hitchdeck fleet.
+    """Operate a hitchdeck fleet.
 
     Parameters
     ----------
@@ -58,12 +58,13 @@
         Addresses of the control boxes, ``IP:port,...``; default from
         HITCHDECK_CONTROL.
     token
-        Operator's bearer token; default from HITCHDECK_TOKEN.
+        Bearer token of the operator; default from HITCHDECK_TOKEN.
     operator, number
-        Identity of the command: a resend under both is answered, not run
-        again.  Defaults are the user's name and a fresh number.
+        Idempotency key of the command: a resend with both unchanged returns
+        the stored outcome and is not run again.  Defaults are the user's name
+        and the current time in nanoseconds.
     seconds
-        How long to try.
+        Timeout of a call.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self._options = (control, token, operator, number, seconds)
 
     def apply(self, path: str, *, wait: bool = False) -> None:
-        """Create or replace every resource of a TOML file, all or none."""
+        """Create or replace every resource of a TOML file atomically."""
         resources = read_resources(Path(str(path)))
         changes = tuple(Put(resource=one) for one in resources)
         self._execute(Batch(changes=changes), wait=wait)
@@ -111,7 +112,7 @@
         self._execute(command, wait=wait)
 
     def get(self, kind: str = '', name: str = '', *, json: bool = False) -> None:
-        """Show resources, all, of one kind, or one."""
+        """Show all resources, those of one kind, or a single one."""
         query = ListResources(kind=kind, name=name)
         found = self._read(query, ResourceList)
         rows = [
@@ -129,7 +130,9 @@
         """Take an upstream or a box out of service: drain upstream NAME."""
         selector = f'name={name}'
         if what not in {'upstream', 'box'}:
-            raise CommandError(ExitCode.bad_input, f'drain upstream or box, not {what}')
+            raise CommandError(
+                ExitCode.bad_input, f'can only drain upstream or box: {what}'
+            )
         rule = Rule(
             name=f'{_DRAIN_PREFIX}-{what}-{name}',
             effect=Effect.leaving,
@@ -144,12 +147,12 @@
         self._execute(Delete(kind='rule', name=rule), wait=wait)
 
     def evacuate(self, domain: str, *, wait: bool = True) -> None:
-        """Send no new work to the upstreams of a failure domain."""
+        """Stop new requests to the upstreams of a failure domain."""
         check_domain(domain, self._read(ListResources(kind='upstream'), ResourceList))
         self._execute(evacuation_of(domain), wait=wait)
 
     def reopen(self, domain: str, *, wait: bool = True) -> None:
-        """Take an evacuated failure domain back; once it is open, a no-op."""
+        """Reopen an evacuated failure domain; no-op if it is open."""
         rules = self._read(ListResources(kind='rule'), ResourceList)
         if not is_evacuated(domain, rules):
             check_domain(
@@ -197,23 +200,23 @@
         self._execute(command, wait=False)
 
     def orders(self, *, json: bool = False) -> None:
-        """Show the orders to upstreams and how they stand."""
+        """Show the orders to upstreams and their progress."""
         found = self._read(ListOrders(), OrderList)
         print_rows([one.model_dump() for one in found.orders], as_json=json)
 
     def top(self, *, json: bool = False) -> None:
-        """Show per account and class what waits and what was served."""
+        """Show requests and latencies per account and class, and the shards."""
         status = self._read(GetStatus(), Status)
         show_top([one.http_address for one in status.routers], as_json=json)
 
     def key(self) -> None:
-        """Make a bearer token and the hash to keep of it."""
+        """Generate a bearer token and the hash to store in the configuration."""
         token = secrets.token_urlsafe(_TOKEN_BYTES)
         print_object({'token': token, 'hash': token_hash(token)}, as_json=False)
 
     @property
     def control(self) -> GroupCommands:
-        """Found and repair the control group."""
+        """Initialize and repair the control group."""
         return GroupCommands(self._connection())
 
     def _connection(self) -> Connection:
@@ -251,7 +254,7 @@
 
 
 def main() -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line; exit with a code of ``ExitCode``."""
     try:
         fire.Fire(Hitchdeck, name='hitchdeck')
     except CommandError as error:
--- a/packages/cli/src/hitchdeck_cli/printing.py
+++ b/packages/cli/src/hitchdeck_cli/printing.py
@@ -9,7 +9,7 @@
 
 
 def print_rows(rows: Sequence[Row], *, as_json: bool) -> None:
-    """Print rows with equal keys."""
+    """Print rows, all with the same keys, as a table or a JSON array."""
     if as_json:
         _write(json.dumps(list(rows), indent=2))
         return
@@ -20,7 +20,7 @@
 
 
 def print_object(content: Row, *, as_json: bool) -> None:
-    """Print one object."""
+    """Print one object as aligned key-value lines or as JSON."""
     if as_json:
         _write(json.dumps(content, indent=2))
         return
@@ -30,12 +30,12 @@
 
 
 def print_line(text: str) -> None:
-    """Print one line."""
+    """Write one line to standard output."""
     _write(text)
 
 
 def format_table(rows: Sequence[Row]) -> str:
-    """Return rows as aligned columns under a head."""
+    """Return rows as aligned columns below a header."""
     columns = list(rows[0])
     cells = [[_cell(row[column]) for column in columns] for row in rows]
     widths = [
--- a/packages/cli/src/hitchdeck_cli/top.py
+++ b/packages/cli/src/hitchdeck_cli/top.py
@@ -1,4 +1,4 @@
-"""``hitchdeck top``: metrics of all routers, put together."""
+"""``hitchdeck top``: aggregated metrics of all routers."""
 
 import re
 from collections import defaultdict
@@ -16,7 +16,7 @@
 
 
 def parse_metrics(text: str) -> Iterator[Sample]:
-    """Yield name, labels and number of each line of a metrics page."""
+    """Yield name, labels and value of each sample of a metrics page."""
     for line in text.splitlines():
         found = _LINE.fullmatch(line)
         if found:
@@ -25,7 +25,7 @@
 
 
 def show_top(addresses: Iterable[str], *, as_json: bool) -> None:
-    """Print accounts by class, then shards."""
+    """Print a table per account and class, then one per shard."""
     samples = [sample for address in addresses for sample in _fetch(address)]
     print_rows(account_rows(samples), as_json=as_json)
     print_line('')
@@ -33,7 +33,7 @@
 
 
 def account_rows(samples: Iterable[Sample]) -> list[Row]:
-    """Return a row per account and class; quantiles are the worst router's."""
+    """Return a row per account and class; quantiles are the maximum over routers."""
     rows: dict[tuple[str, str], Row] = defaultdict(
         lambda: {'requests': 0, 'wait_ms': 0, 'first_token_ms': 0, 'token_gap_ms': 0},
     )
--- a/packages/daemon/src/hitchdeck_daemon/__init__.py
+++ b/packages/daemon/src/hitchdeck_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The ``hitchdeckd`` process."""
+"""The ``hitchdeckd`` daemon."""
--- a/packages/daemon/src/hitchdeck_daemon/main.py
+++ b/packages/daemon/src/hitchdeck_daemon/main.py
@@ -1,4 +1,4 @@
-"""``hitchdeckd``: one process with the roles that its settings give it."""
+"""``hitchdeckd``: one process that runs the roles enabled in its settings."""
 
 import asyncio
 import gc
@@ -28,7 +28,7 @@
     settings
         Path of the settings file, in TOML.
     check
-        Only check the settings, print ``ok`` and end.
+        Only validate the settings, print ``ok`` and exit.
     """
     try:
         checked = load_settings(Path(settings))
@@ -58,7 +58,8 @@
         control = await start_control(settings)
     if settings.router is not None:
         router = await start_router(settings)
-    # What was made up to here stays; the collector need not look at it again.
+    # Objects created during startup live until exit; keep them out of later
+    # garbage collections.
     gc.freeze()
     await _wait_for_stop(stopping, control)
     if router is not None:
@@ -73,10 +74,11 @@
     stopping: asyncio.Event,
     control: ControlProcess | None,
 ) -> None:
-    """Wait for a signal; raise if the process can't go on.
+    """Wait for a signal; raise if a supervised task failed permanently.
 
-    A control replica whose disk failed ends at once, without any stop in
-    order: it can't keep a promise any more, and the others go on.
+    A control replica whose disk failed exits at once, without a graceful
+    shutdown: it can no longer guarantee durability, and the other replicas
+    keep serving.
     """
     waits: list[asyncio.Future[Any]] = [asyncio.ensure_future(stopping.wait())]
     if control is not None:
--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -1,6 +1,6 @@
-"""What the programs for the platform's two roles have in common.
+"""Shared startup and shutdown of the programs for the platform's two roles.
 
-Each role is a program of its own, so that an entry box starts without the
+Each role is a separate program, so that an entry box does not import the
 hub's modules: ``platform_entry`` and ``platform_hub``.
 """
 
@@ -29,12 +29,12 @@
 FAILED = 1
 
 RELOAD_SECONDS = 1.0
-"""Between two looks at the settings file, which may change without a signal."""
+"""Poll interval of the settings file, which may change without a signal."""
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A running role: its book of hubs, its tasks, and how it stops as planned."""
+    """A running role: its known hubs, its supervisor and its graceful shutdown."""
 
     known_hubs: KnownHubs
     supervisor: Supervisor
@@ -42,7 +42,7 @@
 
 
 Start = Callable[[PlatformSettings], Awaitable[Role]]
-"""Starts a role with its settings."""
+"""Starts a role from its settings."""
 
 
 def run_role(start: Start) -> None:
@@ -66,7 +66,7 @@
 def _box_settings(settings: PlatformSettings) -> BoxSettings:
     box_settings = settings.entry or settings.hub
     if box_settings is None:
-        raise SettingsError('these settings ask for neither an entry box nor a hub')
+        raise SettingsError('settings configure neither an entry box nor a hub')
     return box_settings
 
 
@@ -78,7 +78,8 @@
         loop.add_signal_handler(number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     role = await start(settings)
-    # What was made up to here stays; the collector need not look at it again.
+    # Objects created during startup live until exit; keep them out of later
+    # garbage collections.
     gc.freeze()
     watching = Supervisor('settings')
     watching.permanent('reload', lambda: _watch_settings(role, reload, path))
@@ -89,9 +90,9 @@
 
 
 async def _wait_for_stop(stopping: asyncio.Event, role: Role) -> None:
-    """Wait for a signal, or raise if a task failed for good.
+    """Wait for a signal, or raise if a task failed permanently.
 
-    A process whose disk failed ends at once, and is started again.
+    A process whose disk failed exits at once; the platform restarts it.
     """
     waits = [
         asyncio.ensure_future(stopping.wait()),
@@ -103,13 +104,13 @@
 
 
 async def _watch_settings(role: Role, reload: asyncio.Event, path: Path) -> None:
-    """Take new seeds from changed settings; for ever."""
+    """Apply the seeds of changed settings; runs until cancelled."""
     known_text = _text_of(path)
     while True:
         try:
             await asyncio.wait_for(reload.wait(), RELOAD_SECONDS)
         except TimeoutError:
-            # No signal came; the file may have changed all the same.
+            # No signal arrived; the file may still have changed.
             signalled = False
         else:
             signalled = True
@@ -121,7 +122,7 @@
 
 
 def _text_of(path: Path) -> str:
-    """Return the settings' text; blank while the file is being replaced."""
+    """Return the settings' text; empty if unreadable, as during a replacement."""
     try:
         return path.read_text()
     except OSError as error:
--- a/packages/daemon/src/hitchdeck_daemon/platform_entry.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_entry.py
@@ -8,9 +8,9 @@
 
 
 async def start(settings: PlatformSettings) -> Role:
-    """Start the entry box that the settings ask for."""
+    """Start the entry box that the settings configure."""
     if settings.entry is None:
-        raise SettingsError('these settings ask for no entry box')
+        raise SettingsError('settings configure no entry box')
     box = await start_entry(settings.entry, DIALECT)
 
     async def stop() -> None:
--- a/packages/daemon/src/hitchdeck_daemon/platform_hub.py
+++ b/packages/daemon/src/hitchdeck_daemon/platform_hub.py
@@ -10,13 +10,13 @@
 from hitchdeck_platform.settings import PlatformSettings
 
 STOP_SECONDS = 0.5
-"""A stopping hub still answers calls that are under way for so long."""
+"""Time that a hub which shuts down leaves for calls in flight."""
 
 
 async def start(settings: PlatformSettings) -> Role:
-    """Start the hub that the settings ask for."""
+    """Start the hub that the settings configure."""
     if settings.hub is None:
-        raise SettingsError('these settings ask for no hub')
+        raise SettingsError('settings configure no hub')
     hub = await start_hub(settings.hub, read_document)
     servers = start_servers(hub)
 
