--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Puts the runtime's libraries, from the lock, and the project's packages into
-# target/deps.  Libraries are installed again only when the lock has changed.
+# Installs the locked runtime dependencies and the project's packages into
+# target/deps.  Dependencies are reinstalled only when the lock file has changed.
 set -eu
 mkdir -p target
 if ! cmp -s requirements-runtime.lock target/installed.lock; then
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,8 @@
-"""The whole path on loopback: ``make demo``.
+"""End-to-end demo on loopback: ``make demo``.
 
 Starts three control boxes, four routers, two model engines and a plain
 service as separate processes, defines two client accounts through the
-command line, sends requests as callers do, and checks every answer.
+command line, sends requests as callers do, and checks every response.
 """
 
 import asyncio
@@ -33,7 +33,10 @@
 
 @dataclass
 class Findings:
-    """What was served, and what was wrong."""
+    """Requests served, and errors found.
+
+    ``widest_gap`` and ``bound`` are in cost units.
+    """
 
     served: Counter[tuple[str, str]] = field(default_factory=Counter)
     wrong: list[str] = field(default_factory=list)
@@ -67,7 +70,7 @@
 
 
 async def wait_until_ready(fleet: Fleet) -> None:
-    """Return once every router admits."""
+    """Return once every router is ready to accept requests."""
     client = AsyncHTTPClient()
     deadline = time.monotonic() + _READY_SECONDS
     for router in fleet.routers:
@@ -78,12 +81,12 @@
             )
             if reply.code == 200:
                 break
-            assert time.monotonic() < deadline, f'{router.name} does not get ready'
+            assert time.monotonic() < deadline, f'{router.name} did not become ready'
             await asyncio.sleep(0.05)
 
 
 async def fetch_addresses(router_port: int, key: str) -> list[str]:
-    """Ask which addresses to use, as callers do."""
+    """Fetch the router addresses that an account should use, as callers do."""
     reply = await AsyncHTTPClient().fetch(
         HTTPRequest(
             f'http://127.0.0.1:{router_port}/v1/addresses',
@@ -95,7 +98,7 @@
 
 @cache
 def client_of(address: str, account: str) -> AsyncOpenAI:
-    """Return the official client, pointed at one router."""
+    """Return an official OpenAI client whose base URL is one router."""
     return AsyncOpenAI(
         base_url=f'http://{address}/v1',
         api_key=ACCOUNTS[account],
@@ -109,7 +112,7 @@
     number: int,
     findings: Findings,
 ) -> None:
-    """Send one streamed chat request and check its answer."""
+    """Send one streamed chat request and check its response."""
     client = client_of(address, account)
     prompt = f'draft {number} for {account}'
     stream = await client.chat.completions.create(
@@ -129,7 +132,7 @@
 
 
 async def confirm(address: str, account: str, key: str) -> dict[str, Any]:
-    """Send one call that must not run twice."""
+    """Send one service call with an idempotency key."""
     reply = await AsyncHTTPClient().fetch(
         HTTPRequest(
             f'http://{address}/v1/services/shifts/confirm',
@@ -146,12 +149,12 @@
 
 
 async def confirm_twice(fleet: Fleet, addresses: list[str], findings: Findings) -> None:
-    """Confirm one shift through two routers: it must run once."""
+    """Confirm one shift through two routers; it must run exactly once."""
     key = f'{int(time.time())}-shift-7'
     first = await confirm(addresses[0], 'rosters', key)
     second = await confirm(addresses[-1], 'rosters', key)
     if first != second:
-        findings.wrong.append(f'resend answered {second}, not {first}')
+        findings.wrong.append(f'resend returned {second}, not {first}')
     records = read_records(fleet.folder / 'service-0.records')
     runs = [one['event'] for one in records].count('run')
     if runs != 1:
@@ -160,7 +163,7 @@
 
 
 async def watch_gap(fleet: Fleet, findings: Findings) -> None:
-    """Note the widest fairness gap that the schedulers report."""
+    """Record the widest fairness gap that the schedulers report."""
     client = AsyncHTTPClient()
     while True:
         for router in fleet.routers:
@@ -176,7 +179,7 @@
 
 
 async def send_requests(fleet: Fleet) -> Findings:
-    """Send everything."""
+    """Send all requests of the demo and return the findings."""
     findings = Findings()
     await wait_until_ready(fleet)
     watching = asyncio.create_task(watch_gap(fleet, findings))
@@ -197,7 +200,7 @@
 
 
 def report(fleet: Fleet, findings: Findings, seconds: float) -> None:
-    """Print what happened."""
+    """Print what was served and what was wrong."""
     print(f'{"account":14}{"what":16}served')
     for (account, what), count in sorted(findings.served.items()):
         print(f'{account:14}{what:16}{count}')
@@ -210,7 +213,7 @@
 
 
 def main() -> int:
-    """Run the demo; 1 if any answer was wrong."""
+    """Run the demo; return 1 if any check failed."""
     started_at = time.monotonic()
     folder = Path(tempfile.mkdtemp(prefix='hitchdeck-demo-'))
     with running_fleet(folder, FleetSize()) as fleet:
@@ -222,7 +225,7 @@
     for name, code in codes.items():
         daemon = name.startswith(('control', 'router'))
         if daemon and code != 0:
-            findings.wrong.append(f'{name} ended with {code}')
+            findings.wrong.append(f'{name} exited with code {code}')
     report(fleet, findings, time.monotonic() - started_at)
     return 1 if findings.wrong else 0
 
--- a/tools/generate_wire.py
+++ b/tools/generate_wire.py
@@ -1,6 +1,6 @@
-"""Regenerate the committed message code from the protocol files.
+"""Regenerate the committed message modules from the ``.proto`` files.
 
-Needs ``grpcio-tools``, which is left out of the lock: a build never needs it.
+Needs ``grpcio-tools``, which is not in the lock file: builds don't use it.
 """
 
 import subprocess
--- a/tools/runtime_lock.py
+++ b/tools/runtime_lock.py
@@ -1,6 +1,6 @@
-"""Write requirements-runtime.lock: the part of the lock that the product runs on.
+"""Write requirements-runtime.lock, the runtime subset of requirements.lock.
 
-Run after requirements.lock has changed, in the environment made from it.
+Run after requirements.lock has changed, in an environment installed from it.
 """
 
 import re
@@ -18,13 +18,13 @@
     'pydantic',
     'tornado',
 )
-"""What the packages that are deployed declare."""
+"""Direct dependencies of the packages that are deployed."""
 
 HEADER = '# Made from requirements.lock by tools/runtime_lock.py.\n'
 
 
 def main() -> None:
-    """Write the file."""
+    """Write the runtime lock file."""
     required: set[str] = set()
     for name in DIRECT:
         collect_requirements(name, required)
@@ -34,7 +34,7 @@
 
 
 def collect_requirements(name: str, required: set[str]) -> None:
-    """Add a library and what it requires, extras left out."""
+    """Add a library and its transitive dependencies, without extras."""
     normal = name.lower().replace('_', '-')
     if normal in required:
         return
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -1,10 +1,11 @@
-"""Switch mechanisms off, one at a time, and see their tests fail.
+"""Mutation check: disable one mechanism at a time and expect its test to fail.
 
-For each row, a scratch copy of the tree is changed in one place and the test
-that proves the mechanism is run on it.  A test that passes all the same
-proves nothing, and the script says so and exits with 1.
+For each mechanism, one place of a scratch copy of the tree is changed and the
+test that covers the mechanism is run there.  A test that still passes does not
+cover the mechanism; the script reports it and exits with 1.
 
-``.venv/bin/python tools/switch_off.py [word]`` runs the rows with that word.
+``.venv/bin/python tools/switch_off.py [word]`` checks only the mechanisms
+whose name contains the word.
 """
 
 import os
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What is switched off, by which change, and the test that must notice."""
+    """A mechanism, the change that disables it, and the test that must fail."""
 
     name: str
     path: str
@@ -172,7 +173,7 @@
 
 
 def fails_without(mechanism: Mechanism, scratch: Path) -> bool:
-    """Tell whether the test notices that a mechanism is off."""
+    """Return whether the test fails, or times out, without a mechanism."""
     path = scratch / mechanism.path
     original = path.read_text()
     assert mechanism.present in original, f'{mechanism.name}: text not found'
@@ -197,7 +198,7 @@
 
 
 def main() -> int:
-    """Run every row; 1 if a test did not notice."""
+    """Check every mechanism; return 1 if a test passed without it."""
     word = sys.argv[1] if len(sys.argv) > 1 else ''
     unnoticed = 0
     with tempfile.TemporaryDirectory() as folder:
