--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs under faults from outside."""
+"""Randomized soak test: runs the real programs under injected faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Command line of the soak.
+"""Command line of the soak test.
 
-``python -m soak --seed 7 --seconds 20`` plays one seed; ``--seeds 50`` plays
-so many in a row, from the given one on.  Exit code 1 if a promise was broken.
+``python -m soak --seed 7 --seconds 20`` runs one seed; ``--seeds 50`` runs 50
+consecutive seeds from the given one.  Exit code 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -31,15 +31,15 @@
 PATHS = ('/s/', '/once/', '/u/', '/g/')
 LETHAL = 'lethal'
 LONG_RETRY_AFTER = '60'
-"""Seconds, as a worker says them; longer than what is asked of it then."""
+"""Retry-After of a worker, in seconds; exceeds the rest of the run."""
 
 UNLIMITED_REQUESTS = 10_000
 ROUNDS = 3
 RECOVERY_SECONDS = 4.0
-"""Until all processes are in touch again and know what each other knows."""
+"""Time for all processes to reconnect and synchronize their state."""
 
 REPORT_SECONDS = 0.8
-"""Until a worker that started again has reported itself."""
+"""Time for a restarted worker to send its first report to a hub."""
 
 SERVICES = (
     {
@@ -69,13 +69,13 @@
     '{"service": "llm", "address": "127.0.0.1:1", "state": "ready",'
     ' "sequence": 99999, "born": null}',
 )
-"""What another writer may send in an upstream's name."""
+"""Report bodies that another writer sends under the name of an upstream."""
 
 TRANSPORT_ERRORS = (HTTPClientError, HTTPStreamClosedError, HTTPTimeoutError, OSError)
 
 
 class Run:
-    """One seed's run."""
+    """Run of one seed: fleet, workers, proxies and the history of what was seen."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.random = random.Random(seed)
@@ -95,7 +95,10 @@
         self.version = 1
 
     async def play(self, seconds: float) -> list[str]:
-        """Play the seed; return the broken promises."""
+        """Run the seed; return a line for each violated guarantee.
+
+        ``seconds`` is the time under faults.
+        """
         try:
             await self._start()
             await self._play(seconds)
@@ -144,7 +147,7 @@
         await _cancel([reporting])
 
     async def _run_under(self, faults: Faults, seconds: float) -> None:
-        """Let callers, operators and strangers at the fleet, under faults."""
+        """Run callers, operators and foreign writers concurrently with faults."""
         coroutines = [self._call() for _ in range(CALLERS)]
         coroutines += [
             self._change_configuration(),
@@ -158,7 +161,7 @@
         await _cancel(tasks)
 
     async def _check_after_recovery(self, faults: Faults) -> None:
-        """Let everything come back, then send the lethal request to each box."""
+        """Clear all faults, check orders, then send the lethal request to each box."""
         await self._wait_for_recovery(faults)
         await self.domain_orders.check(self._ask_each, self._restart_all)
         self.history.lethal_before = self._lethal_runs()
@@ -188,7 +191,7 @@
                 await self._ask(self._next('a'), path, box=box)
 
     async def _check_refusing_workers(self) -> None:
-        """Ask of workers that say that they leave, then of all, which want a pause."""
+        """Check requests to draining workers, then to workers that send Retry-After."""
         leavers = [self.workers[0], self.workers[-1]]
         for leaver in leavers:
             leaver.leaving = True
@@ -238,13 +241,13 @@
             await asyncio.sleep(self.random.uniform(0, 0.05))
 
     async def _repeat_lethal(self) -> None:
-        """Send one content again and again under which workers end."""
+        """Repeatedly send a content that crashes workers."""
         while True:
             await asyncio.sleep(self.random.uniform(0.5, 1.5))
             await self._ask(self._next(LETHAL), '/s/', LETHAL)
 
     async def _send_foreign_reports(self) -> None:
-        """Send hubs what no upstream says."""
+        """Send hubs reports that no upstream sends."""
         while True:
             body = self.random.choice(FOREIGN_REPORTS)
             url = f'http://{self._control()}/api/instances/w0'
@@ -276,7 +279,7 @@
         return answer
 
     def _control(self) -> str:
-        """Return where some hub takes orders."""
+        """Return the control address of a random hub."""
         hub = self.random.choice(self.fleet.hubs)
         return self.proxies[self.fleet.control(hub)].address
 
@@ -301,12 +304,13 @@
             await asyncio.sleep(self.random.uniform(0.1, 0.5))
 
     async def _fetch(self, request: HTTPRequest) -> tuple[int, str]:
-        """Return status and body, or 0 where no whole answer came."""
+        """Return status and body; status 0 if no complete response arrived."""
         request.connect_timeout = 1
         try:
             reply = await self.client.fetch(request, raise_error=False)
         except TRANSPORT_ERRORS:
-            # A lost answer is part of the history: nothing is known of it.
+            # The outcome of a request without a response is unknown; the history
+            # records it with status 0.
             return 0, ''
         return reply.code, reply.body.decode() if reply.body else ''
 
@@ -318,16 +322,16 @@
 
 
 def main(seed: int = 1, seeds: int = 1, seconds: float = 15, keep: str = '') -> None:
-    """Play seeds and print what each came to.
+    """Run seeds and print a summary of each.
 
     Parameters
     ----------
     seed, seeds
-        First seed, and how many.
+        First seed, and number of consecutive seeds.
     seconds
-        Length of each run under faults.
+        Time under faults of each run.
     keep
-        Folder that keeps the processes' logs; a passing folder if not given.
+        Folder for the processes' files; a temporary one is used if empty.
     """
     failed = 0
     for number in range(seed, seed + seeds):
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn by a seed; they come in series and overlap."""
+"""Injects random faults from a seed; faults may overlap."""
 
 import asyncio
 import random
@@ -11,12 +11,12 @@
 from standins.platform_worker import Fault, Worker
 
 STOP_GRACE_SECONDS = 3.0
-"""Between SIGTERM and SIGKILL, as the settings say."""
+"""Time between SIGTERM and SIGKILL; equal to ``graceS`` in the settings."""
 
 MS = 1000
 
 RETRY_AFTER_VALUES = ('', '', '0.2', '1', 'soon', '-1', '1e-9')
-"""What a worker may say with a request that it turns away."""
+"""Retry-After values, some invalid, of a worker that sheds a request."""
 
 Injection = Callable[[], Awaitable[None]]
 
@@ -24,7 +24,8 @@
 class Faults:
     """Injects faults into a fleet.
 
-    At most one hub is away at a time, as the fleet's settings promise to bear.
+    At most one hub is down at a time: the settings state a fault tolerance of
+    one machine.  ``injected`` holds the names of the faults in order.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self.injected: list[str] = []
 
     async def run(self) -> None:
-        """Inject one fault after another, without waiting for their ends."""
+        """Inject faults at random intervals without waiting for earlier ones."""
         injections = [
             self.kill_box,
             self.stop_box,
@@ -68,7 +69,7 @@
                 group.create_task(injection())
 
     async def clear(self) -> None:
-        """Bring back everything that is away, and let all links be whole."""
+        """Restart what is down and restore all links."""
         for program in self.fleet.programs():
             program.signal(signal.SIGCONT)
             self.fleet.write_settings(program, first=False)
@@ -84,14 +85,14 @@
         await self._kill(self.random.choice(self.fleet.boxes))
 
     async def stop_box(self) -> None:
-        """Stop an entry box as planned and start it again."""
+        """Shut down an entry box gracefully and start it again."""
         box = self.random.choice(self.fleet.boxes)
         box.signal(signal.SIGTERM)
         await asyncio.to_thread(box.end, STOP_GRACE_SECONDS)
         box.start()
 
     async def freeze_box(self) -> None:
-        """Freeze an entry box for a moment."""
+        """Suspend an entry box for up to 2.5 seconds."""
         await self._freeze(self.random.choice(self.fleet.boxes))
 
     async def kill_hub(self) -> None:
@@ -100,12 +101,12 @@
             await self._kill(self.random.choice(self.fleet.hubs))
 
     async def freeze_hub(self) -> None:
-        """Freeze a hub for a moment."""
+        """Suspend a hub for up to 2.5 seconds."""
         async with self.hub_down:
             await self._freeze(self.random.choice(self.fleet.hubs))
 
     async def lose_hub_disk(self) -> None:
-        """Kill a hub, empty its disk, start it, and let the group repair."""
+        """Kill a hub, empty its disk, restart it, and let the group repair it."""
         async with self.hub_down:
             hub = self.random.choice(self.fleet.hubs)
             hub.signal(signal.SIGKILL)
@@ -113,36 +114,36 @@
             hub.lose_disk()
             self.fleet.write_settings(hub, first=False)
             hub.start()
-            # The loss counts until the newcomer has caught up.
+            # The hub counts as down until its new replica has caught up.
             await asyncio.sleep(4)
 
     async def make_worker_misbehave(self) -> None:
-        """Let a worker misbehave on its next requests."""
+        """Make a worker misbehave on its next one to five requests."""
         worker = self.random.choice(self.workers)
         fault = self.random.choice(list(Fault))
         worker.pause = self.random.choice(RETRY_AFTER_VALUES)
         worker.misbehave(fault, self.random.randint(1, 5))
 
     async def crash_worker(self) -> None:
-        """End a worker as a crash does; it comes back under its name."""
+        """Crash a worker; it is restarted later under the same name."""
         worker = self.random.choice(self.workers)
         if not worker.ended:
             await worker.end()
 
     async def restart_crashed_regularly(self) -> None:
-        """Start workers again that have ended, whatever ended them; for ever."""
+        """Restart crashed workers periodically; runs until cancelled."""
         while True:
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
             await self.restart_crashed()
 
     async def restart_crashed(self) -> None:
-        """Start workers again that have ended."""
+        """Restart all crashed workers."""
         for worker in self.workers:
             if worker.ended:
                 await worker.restart(int(time.time() * MS))
 
     async def disturb_link(self) -> None:
-        """Slow a link down, hold one direction of it, or silence it, for a while."""
+        """Delay a link or block one or both of its directions for a while."""
         proxy = self.random.choice(self.proxies)
         kinds = [kind for kind in LinkState if kind is not LinkState.whole]
         proxy.delay = self.random.uniform(0.01, 0.3)
@@ -151,7 +152,7 @@
         await proxy.change(LinkState.whole)
 
     async def reset_link(self) -> None:
-        """Reset every connection of a link."""
+        """Reset every connection of a random link."""
         self.random.choice(self.proxies).reset()
 
     async def _kill(self, program: Program) -> None:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,7 +1,7 @@
-"""The programs as processes on loopback, started and ended by their ids.
+"""Starts the programs as child processes on loopback and stops them.
 
-Every machine has a loopback address of its own, so that ports are alike on
-all of them, as on the platform.
+Every machine has its own loopback address, so that all machines use the same
+ports, as on the platform.
 """
 
 import os
@@ -21,7 +21,7 @@
 """Second bytes of the loopback addresses that a fleet may use."""
 
 CLAIM_HOST = 254
-"""Machine of a network whose first port says that the network is in use."""
+"""Host number whose first port is bound to mark a network as in use."""
 
 SETTINGS = """
 nodeName = "{name}"
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """One process of the fleet, and how to start it again."""
+    """One process of the fleet, with what is needed to restart it."""
 
     name: str
     ip: str
@@ -74,7 +74,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process, unless it runs: two faults may hit it at once."""
+        """Start the process unless it runs; concurrent faults may both restart it."""
         if self.process is not None and self.process.poll() is None:
             return
         with self.log.open('ab') as output:
@@ -86,12 +86,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this very process, if it still runs."""
+        """Send a signal to the process if it still runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def end(self, seconds: float = 0) -> None:
-        """Wait for the process to end by itself for a while, then kill it."""
+        """Wait up to ``seconds`` for the process to exit, then kill it."""
         if self.process is None:
             return
         try:
@@ -102,7 +102,7 @@
             self.process.wait()
 
     def lose_disk(self) -> None:
-        """Empty the data folder, and be no first start any more."""
+        """Empty the data folder of a hub; no-op for a box."""
         if self.data is not None:
             shutil.rmtree(self.data, ignore_errors=True)
             self.data.mkdir()
@@ -112,7 +112,8 @@
 class Fleet:
     """All programs of one run.
 
-    ``claim`` keeps other fleets of this machine from the same addresses.
+    ``claim`` is a bound socket that keeps other fleets on the same host from
+    using the same addresses.
     """
 
     folder: Path
@@ -142,7 +143,10 @@
         return program
 
     def write_settings(self, program: Program, *, first: bool) -> None:
-        """Write the settings that a program reads at its next start."""
+        """Write the settings that a program reads when it starts.
+
+        ``first`` is true only for the first start of the fleet.
+        """
         seeds = ', '.join(f'"{self.ip_of(one)}:{FIRST_PORT + 3}"' for one in range(3))
         serves = '"control", "directory"' if program.role == 'hub' else '"front"'
         text = SETTINGS.format(
@@ -167,19 +171,19 @@
         return f'127.{self.network}.0.{number + 1}'
 
     def front(self, box: Program) -> str:
-        """Return where callers reach a box."""
+        """Return the address at which a box accepts requests of callers."""
         return f'{box.ip}:{FIRST_PORT + 1}'
 
     def control(self, hub: Program) -> str:
-        """Return where operators and upstreams reach a hub."""
+        """Return the address of a hub for operators and upstreams."""
         return f'{hub.ip}:{FIRST_PORT + 3}'
 
     def programs(self) -> list[Program]:
-        """Return every program."""
+        """Return all programs, hubs first."""
         return [*self.hubs, *self.boxes]
 
     def stop(self) -> None:
-        """End every program that this run started."""
+        """Kill every program that this run started and release the network."""
         for program in self.programs():
             program.signal(signal.SIGCONT)
             program.signal(signal.SIGKILL)
@@ -189,14 +193,19 @@
 
 
 def claimed_fleet(folder: Path, first: int = 0) -> Fleet:
-    """Return a fleet on a network that no other fleet of this machine uses.
+    """Return a fleet on a network that no other fleet on this host uses.
 
     Parameters
     ----------
     folder
-        Where its programs keep their settings, data and logs.
+        Folder for the settings, data and logs of its programs.
     first
-        Place in ``NETWORKS``, counted round, of the network that is tried first.
+        Index into ``NETWORKS``, modulo its length, of the network to try first.
+
+    Raises
+    ------
+    RuntimeError
+        If every network is in use.
     """
     start = first % len(NETWORKS)
     for network in chain(NETWORKS[start:], NETWORKS[:start]):
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,4 @@
-"""What callers, upstreams and operators saw, and which promise that breaks."""
+"""Records what callers, upstreams and operators saw, and checks the guarantees."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,16 +6,17 @@
 NOT_RUN = frozenset((429, 503))
 SUCCESS = 200
 REFUSALS = frozenset((0, *range(400, 500)))
-"""How an entry of another writer may be answered; 0 where no answer came."""
+"""Valid statuses for a report of a foreign writer; 0 means no response."""
 
 MIN_LETHAL_CRASHES = 3
 MAX_LATE_RUNS = 3
-"""Upstreams that a content may reach after enough have ended, all in touch."""
+"""Upstreams a lethal content may still reach after ``MIN_LETHAL_CRASHES`` crashes,
+while all processes are connected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One request and its answer; ``status`` 0 where none came."""
+    """One request and its response; ``status`` is 0 if none arrived."""
 
     attempt: str
     path: str
@@ -28,9 +29,12 @@
 class History:
     """Everything seen in one run.
 
-    ``asked`` holds every request that was sent, answered or not; ``unwilling`` what
-    calm upstreams got after they had said that they want nothing, and the most that
-    it may be: one request of each box, by which it is told.
+    ``asked`` holds the id of every request that was sent, answered or not.
+    ``accepted`` is the highest configuration version acknowledged, ``reads`` are
+    pairs of the version acknowledged before a read and the version read.
+    ``request_limits`` holds a name, the number of requests received and the
+    limit, without faults: an upstream that drains or sends Retry-After may get
+    one request from each box, whose response notifies the box.
     """
 
     asked: set[str] = field(default_factory=set)
@@ -43,21 +47,24 @@
     request_limits: list[tuple[str, int, int]] = field(default_factory=list)
 
     def broken(self, ran: Counter[str]) -> list[str]:
-        """Return a line for each broken promise; ``ran`` counts by attempt."""
+        """Return a line for each violated guarantee.
+
+        ``ran`` counts how often upstreams ran each attempt.
+        """
         lines = [
             line
             for one in self.answers
             for line in _check_answer(one, ran[one.attempt])
         ]
         unrequested = set(ran) - self.asked
-        lines.extend(f'{one} ran and nobody asked' for one in sorted(unrequested))
+        lines.extend(f'{one} ran but was never sent' for one in sorted(unrequested))
         lines.extend(
             f'version {read} was read after {accepted} was accepted'
             for accepted, read in self.reads
             if read < accepted
         )
         lines.extend(
-            f'foreign entry {body[:60]} was answered with {status}'
+            f'foreign report {body[:60]} got status {status}'
             for body, status in self.foreign
             if status not in REFUSALS
         )
@@ -65,9 +72,11 @@
             self.lethal_before >= MIN_LETHAL_CRASHES
             and self.lethal_after > MAX_LATE_RUNS
         ):
-            lines.append(f'a lethal request ended {self.lethal_after} more when calm')
+            lines.append(
+                f'lethal request crashed {self.lethal_after} more without faults'
+            )
         lines.extend(
-            f'{name} got {sent} requests and wanted {most} at most'
+            f'{name} got {sent} requests, the limit is {most}'
             for name, sent, most in self.request_limits
             if sent > most
         )
@@ -80,7 +89,7 @@
     if once and runs > 1:
         lines.append(f'{answer.attempt} ran {runs} times')
     if once and runs and answer.status in NOT_RUN:
-        lines.append(f'{answer.attempt} ran and was refused with {answer.status}')
+        lines.append(f'{answer.attempt} ran but was rejected with {answer.status}')
     if answer.status == SUCCESS and answer.whole:
         lines.extend(_check_success(answer, runs))
     return lines
@@ -88,7 +97,7 @@
 
 def _check_success(answer: Answer, runs: int) -> list[str]:
     if not runs:
-        return [f'{answer.attempt} succeeded and never ran']
+        return [f'{answer.attempt} succeeded but never ran']
     if answer.path.startswith(('/s/', '/once/')):
         ids = [line for line in answer.body.split('\n') if line.startswith('id: ')]
         wanted = [f'id: {number}' for number in range(1, len(ids) + 1)]
@@ -100,4 +109,4 @@
 
 
 EVENTS = 5
-"""Events of a stand-in's stream."""
+"""Number of events in a stream of the stand-in worker."""
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, holds or silences connections."""
+"""TCP proxy on loopback that delays, resets or blocks connections."""
 
 import asyncio
 import socket
@@ -16,10 +16,10 @@
 
 
 class LinkState(Enum):
-    """What a proxy does with the bytes that it gets.
+    """How a proxy forwards bytes.
 
-    What is held goes on when the link is whole again, as bytes do that a cut link
-    has kept from their receiver.
+    Held bytes are delivered when the link is whole again, as TCP retransmits after
+    a network partition.
     """
 
     whole = 'whole'
@@ -30,7 +30,7 @@
 
 
 class Direction(Enum):
-    """Towards the program that listens, or back."""
+    """Direction of bytes: to the target, or back to the client."""
 
     forth = 'forth'
     back = 'back'
@@ -45,9 +45,9 @@
 
 @dataclass(slots=True)
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
-    ``delay`` is what each piece waits on a slow link, in seconds.
+    ``delay`` is the delay of each chunk on a slow link, in seconds.
     """
 
     target: str
@@ -59,12 +59,12 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = f'{HOST}:{self.server.sockets[0].getsockname()[1]}'
 
     async def stop(self) -> None:
-        """Listen no more, and end every connection."""
+        """Close the listening socket and every connection."""
         assert self.server is not None
         self.server.close()
         await self.change(LinkState.whole)
@@ -73,16 +73,16 @@
             await asyncio.sleep(END_POLL_SECONDS)
 
     def reset(self) -> None:
-        """Reset every connection that is open."""
+        """Reset every open connection."""
         for writer in self.writers:
             if not writer.transport.is_closing():
-                # Without this option the kernel closes, and does not reset.
+                # With a linger time of 0 the kernel sends RST instead of FIN.
                 sock = writer.get_extra_info('socket')
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
             writer.transport.abort()
 
     async def change(self, state: LinkState) -> None:
-        """Change the state; what was held may go on."""
+        """Change the state; bytes that it no longer holds are forwarded."""
         async with self.changed:
             self.state = state
             self.changed.notify_all()
@@ -96,7 +96,7 @@
         try:
             target_streams = await asyncio.open_connection(host, int(port))
         except OSError:
-            # The program is down: its callers see a connection that ends.
+            # The target is down; close the client connection.
             writer.transport.abort()
             return
         pair = {writer, target_streams[1]}
@@ -124,7 +124,7 @@
                 writer.write(chunk)
             await self._wait(direction)
         except ConnectionError:
-            # A reset on one side is a reset on the other.
+            # Propagate a reset to the other side.
             writer.transport.abort()
             return
         writer.close()
