--- a/packages/daemon/src/hitchdeck_daemon/main.py
+++ b/packages/daemon/src/hitchdeck_daemon/main.py
@@ -1,4 +1,4 @@
-"""``hitchdeckd``: one process with the roles that its settings give it."""
+"""``hitchdeckd``: one process that runs the roles enabled in its settings."""
 
 import asyncio
 import gc
@@ -28,7 +28,7 @@
     settings
         Path of the settings file, in TOML.
     check
-        Only check the settings, print ``ok`` and end.
+        Only validate the settings, print ``ok`` and exit.
     """
     try:
         checked = load_settings(Path(settings))
@@ -58,9 +58,10 @@
         control = await start_control(settings)
     if settings.router is not None:
         router = await start_router(settings)
-    # What was made up to here stays; the collector need not look at it again.
+    # Objects created during startup live until exit; keep them out of later
+    # garbage collections.
     gc.freeze()
-    await _wait_for_end(stopping, control)
+    await _wait_for_stop(stopping, control)
     if router is not None:
         await router.drain()
         await router.stop()
@@ -69,21 +70,22 @@
     logs.info('stopped')
 
 
-async def _wait_for_end(
+async def _wait_for_stop(
     stopping: asyncio.Event,
     control: ControlProcess | None,
 ) -> None:
-    """Wait for a signal; raise if the process can't go on.
+    """Wait for a signal; raise if a supervised task failed permanently.
 
-    A control replica whose disk failed ends at once, without any stop in
-    order: it can't keep a promise any more, and the others go on.
+    A control replica whose disk failed exits at once, without a graceful
+    shutdown: it can no longer guarantee durability, and the other replicas
+    keep serving.
     """
     waits: list[asyncio.Future[Any]] = [asyncio.ensure_future(stopping.wait())]
     if control is not None:
         failure = control.supervisor.wait_for_failure()
         waits.append(asyncio.ensure_future(failure))
-    ended, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for one in ended:
+    done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for one in done:
         one.result()
 
 
--- a/packages/daemon/src/hitchdeck_daemon/on_platform.py
+++ b/packages/daemon/src/hitchdeck_daemon/on_platform.py
@@ -1,6 +1,6 @@
-"""What the programs for the platform's two roles have in common.
+"""Shared startup and shutdown of the programs for the platform's two roles.
 
-Each role is a program of its own, so that an entry box starts without the
+Each role is a separate program, so that an entry box does not import the
 hub's modules: ``platform_entry`` and ``platform_hub``.
 """
 
@@ -29,20 +29,20 @@
 FAILED = 1
 
 RELOAD_SECONDS = 1.0
-"""Between two looks at the settings file, which may change without a signal."""
+"""Poll interval of the settings file, which may change without a signal."""
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A running role: its book of hubs, its tasks, and how it stops as planned."""
+    """A running role: its known hubs, its supervisor and its graceful shutdown."""
 
-    book: KnownHubs
+    known_hubs: KnownHubs
     supervisor: Supervisor
     stop: Callable[[], Awaitable[None]]
 
 
 Start = Callable[[PlatformSettings], Awaitable[Role]]
-"""Starts a role with its settings."""
+"""Starts a role from its settings."""
 
 
 def run_role(start: Start) -> None:
@@ -53,8 +53,8 @@
     except SettingsError as error:
         sys.stderr.write(f'hitchdeckd: {error}\n')
         sys.exit(BAD_SETTINGS)
-    about = _about(settings)
-    logs.set_up_stdout(box=about.box, domain=about.domain)
+    box_settings = _box_settings(settings)
+    logs.set_up_stdout(box=box_settings.box, domain=box_settings.domain)
     try:
         with asyncio.Runner(loop_factory=MeteredLoop) as runner:
             runner.run(_run(start, settings, path))
@@ -63,11 +63,11 @@
         sys.exit(FAILED)
 
 
-def _about(settings: PlatformSettings) -> BoxSettings:
-    about = settings.entry or settings.hub
-    if about is None:
-        raise SettingsError('these settings ask for neither an entry box nor a hub')
-    return about
+def _box_settings(settings: PlatformSettings) -> BoxSettings:
+    box_settings = settings.entry or settings.hub
+    if box_settings is None:
+        raise SettingsError('settings configure neither an entry box nor a hub')
+    return box_settings
 
 
 async def _run(start: Start, settings: PlatformSettings, path: Path) -> None:
@@ -78,50 +78,51 @@
         loop.add_signal_handler(number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     role = await start(settings)
-    # What was made up to here stays; the collector need not look at it again.
+    # Objects created during startup live until exit; keep them out of later
+    # garbage collections.
     gc.freeze()
     watching = Supervisor('settings')
     watching.permanent('reload', lambda: _watch_settings(role, reload, path))
-    await _wait_for_end(stopping, role)
+    await _wait_for_stop(stopping, role)
     await watching.stop()
     await role.stop()
     logs.info('stopped')
 
 
-async def _wait_for_end(stopping: asyncio.Event, role: Role) -> None:
-    """Wait for a signal, or raise if a task failed for good.
+async def _wait_for_stop(stopping: asyncio.Event, role: Role) -> None:
+    """Wait for a signal, or raise if a task failed permanently.
 
-    A process whose disk failed ends at once, and is started again.
+    A process whose disk failed exits at once; the platform restarts it.
     """
     waits = [
         asyncio.ensure_future(stopping.wait()),
         asyncio.ensure_future(role.supervisor.wait_for_failure()),
     ]
-    ended, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for one in ended:
+    done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for one in done:
         one.result()
 
 
 async def _watch_settings(role: Role, reload: asyncio.Event, path: Path) -> None:
-    """Take new seeds from changed settings; for ever."""
-    known = _text_of(path)
+    """Apply the seeds of changed settings; runs until cancelled."""
+    known_text = _text_of(path)
     while True:
         try:
             await asyncio.wait_for(reload.wait(), RELOAD_SECONDS)
         except TimeoutError:
-            # No signal came; the file may have changed all the same.
+            # No signal arrived; the file may still have changed.
             signalled = False
         else:
             signalled = True
         reload.clear()
         text = _text_of(path)
-        if text and (text != known or signalled):
-            known = text
+        if text and (text != known_text or signalled):
+            known_text = text
             _reload(role, path)
 
 
 def _text_of(path: Path) -> str:
-    """Return the settings' text; blank while the file is being replaced."""
+    """Return the settings' text; empty if unreadable, as during a replacement."""
     try:
         return path.read_text()
     except OSError as error:
@@ -131,9 +132,9 @@
 
 def _reload(role: Role, path: Path) -> None:
     try:
-        about = _about(read_settings(path))
+        box_settings = _box_settings(read_settings(path))
     except SettingsError as error:
         logs.warning('settings unchanged', reason=str(error))
         return
-    role.book.replace_seeds(map(Address, about.seeds))
-    logs.info('settings reloaded', seeds=about.seeds)
+    role.known_hubs.replace_seeds(map(Address, box_settings.seeds))
+    logs.info('settings reloaded', seeds=box_settings.seeds)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, holds or silences connections."""
+"""TCP proxy on loopback that delays, resets or blocks connections."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 _NO_LINGER = struct.pack('ii', 1, 0)
 
@@ -16,10 +16,10 @@
 
 
 class LinkState(Enum):
-    """What a proxy does with the bytes that it gets.
+    """How a proxy forwards bytes.
 
-    What is held goes on when the link is whole again, as bytes do that a cut link
-    has kept from their receiver.
+    Held bytes are delivered when the link is whole again, as TCP retransmits after
+    a network partition.
     """
 
     whole = 'whole'
@@ -30,7 +30,7 @@
 
 
 class Direction(Enum):
-    """Towards the program that listens, or back."""
+    """Direction of bytes: to the target, or back to the client."""
 
     forth = 'forth'
     back = 'back'
@@ -45,9 +45,9 @@
 
 @dataclass(slots=True)
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
-    ``delay`` is what each piece waits on a slow link, in seconds.
+    ``delay`` is the delay of each chunk on a slow link, in seconds.
     """
 
     target: str
@@ -59,12 +59,12 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = f'{HOST}:{self.server.sockets[0].getsockname()[1]}'
 
     async def stop(self) -> None:
-        """Listen no more, and end every connection."""
+        """Close the listening socket and every connection."""
         assert self.server is not None
         self.server.close()
         await self.change(LinkState.whole)
@@ -73,16 +73,16 @@
             await asyncio.sleep(END_POLL_SECONDS)
 
     def reset(self) -> None:
-        """Reset every connection that is open."""
+        """Reset every open connection."""
         for writer in self.writers:
             if not writer.transport.is_closing():
-                # Without this option the kernel closes, and does not reset.
+                # With a linger time of 0 the kernel sends RST instead of FIN.
                 sock = writer.get_extra_info('socket')
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
             writer.transport.abort()
 
     async def change(self, state: LinkState) -> None:
-        """Change the state; what was held may go on."""
+        """Change the state; bytes that it no longer holds are forwarded."""
         async with self.changed:
             self.state = state
             self.changed.notify_all()
@@ -94,33 +94,37 @@
     ) -> None:
         host, _, port = self.target.rpartition(':')
         try:
-            there = await asyncio.open_connection(host, int(port))
+            target_streams = await asyncio.open_connection(host, int(port))
         except OSError:
-            # The program is down: its callers see a connection that ends.
+            # The target is down; close the client connection.
             writer.transport.abort()
             return
-        ends = {writer, there[1]}
-        self.writers |= ends
+        pair = {writer, target_streams[1]}
+        self.writers |= pair
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(reader, there[1], Direction.forth))
-                group.create_task(self._pass(there[0], writer, Direction.back))
+                group.create_task(
+                    self._forward(reader, target_streams[1], Direction.forth)
+                )
+                group.create_task(
+                    self._forward(target_streams[0], writer, Direction.back)
+                )
         finally:
-            self.writers -= ends
+            self.writers -= pair
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: Direction,
     ) -> None:
         try:
-            while piece := await reader.read(PIECE_BYTES):
+            while chunk := await reader.read(CHUNK_BYTES):
                 await self._wait(direction)
-                writer.write(piece)
+                writer.write(chunk)
             await self._wait(direction)
         except ConnectionError:
-            # A reset on one side is a reset on the other.
+            # Propagate a reset to the other side.
             writer.transport.abort()
             return
         writer.close()
--- a/tools/runtime_lock.py
+++ b/tools/runtime_lock.py
@@ -1,6 +1,6 @@
-"""Write requirements-runtime.lock: the part of the lock that the product runs on.
+"""Write requirements-runtime.lock, the runtime subset of requirements.lock.
 
-Run after requirements.lock has changed, in the environment made from it.
+Run after requirements.lock has changed, in an environment installed from it.
 """
 
 import re
@@ -18,30 +18,30 @@
     'pydantic',
     'tornado',
 )
-"""What the packages that are deployed declare."""
+"""Direct dependencies of the packages that are deployed."""
 
 HEADER = '# Made from requirements.lock by tools/runtime_lock.py.\n'
 
 
 def main() -> None:
-    """Write the file."""
-    wanted: set[str] = set()
+    """Write the runtime lock file."""
+    required: set[str] = set()
     for name in DIRECT:
-        gather(name, wanted)
+        collect_requirements(name, required)
     entries = read_entries((ROOT / 'requirements.lock').read_text())
-    kept = [entries[name] for name in sorted(wanted) if name in entries]
+    kept = [entries[name] for name in sorted(required) if name in entries]
     (ROOT / 'requirements-runtime.lock').write_text(HEADER + ''.join(kept))
 
 
-def gather(name: str, wanted: set[str]) -> None:
-    """Add a library and what it requires, extras left out."""
+def collect_requirements(name: str, required: set[str]) -> None:
+    """Add a library and its transitive dependencies, without extras."""
     normal = name.lower().replace('_', '-')
-    if normal in wanted:
+    if normal in required:
         return
-    wanted.add(normal)
+    required.add(normal)
     for requirement in requires(name) or ():
         if 'extra ==' not in requirement:
-            gather(re.split(r'[^A-Za-z0-9._-]', requirement)[0], wanted)
+            collect_requirements(re.split(r'[^A-Za-z0-9._-]', requirement)[0], required)
 
 
 def read_entries(lock: str) -> dict[str, str]:
