--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -38,7 +38,7 @@
         return self.seconds
 
 
-class PaperEngine:
+class SimulatedEngine:
     """An engine that reads one prompt after the other at a pace."""
 
     def __init__(self, clock: FakeClock, pace: int) -> None:
@@ -133,7 +133,7 @@
     ``stated`` what the engine is stated to read in one, where not its pace.
     """
     clock = FakeClock()
-    reader = PaperEngine(clock, pace)
+    reader = SimulatedEngine(clock, pace)
     scheduler = scheduler_of(clock, 1)
     offer(scheduler, stated or pace)
     scheduler.placement.speed.tokens[POOL] = pace
--- a/tests/cover/test_agreement.py
+++ b/tests/cover/test_agreement.py
@@ -34,14 +34,14 @@
     return set(group.nodes[name].machine.state.resources)
 
 
-async def test_what_is_committed_is_everywhere(group: Group) -> None:
+async def test_committed_entries_reach_every_replica(group: Group) -> None:
     for number in range(5):
         await group.put(f'n{number}')
     expected = {f'account/n{number}' for number in range(5)}
     await until(lambda: all(accounts_of(group, one) == expected for one in group.nodes))
 
 
-async def test_committed_survives_the_leader_and_its_return(group: Group) -> None:
+async def test_committed_entries_survive_a_leader_restart(group: Group) -> None:
     await group.put('before')
     leader = (await group.leader()).name
     await group.stop(leader)
@@ -52,7 +52,7 @@
     )
 
 
-async def test_restart_of_everything_keeps_the_newest(group: Group) -> None:
+async def test_full_restart_keeps_the_newest_state(group: Group) -> None:
     for number in range(120):
         await group.put(f'n{number}')
     for name in list(group.nodes):
@@ -65,7 +65,7 @@
     assert leader.replica.log.snapshot.last_index > 0
 
 
-async def test_leader_cut_off_loses_its_lease_before_another_leads(
+async def test_partitioned_leader_loses_its_lease_before_the_next_leads(
     group: Group,
 ) -> None:
     old = await group.leader()
--- a/tests/cover/test_busyness.py
+++ b/tests/cover/test_busyness.py
@@ -12,11 +12,11 @@
     take_longest_turn,
 )
 
-AFTER_A_MOMENT = 0.3
-HELD_UP_SECONDS = 0.2
+NEGLIGIBLE = 0.3
+BLOCKED_SECONDS = 0.2
 
 
-class Hand:
+class FakeClock:
     """A clock that is set by hand."""
 
     seconds = 0.0
@@ -26,8 +26,10 @@
 
 
 @pytest.mark.parametrize(('waited', 'busy'), [(0, 1), (0.25, 0.75), (1, 0)])
-def test_time_that_was_not_waited_is_work(waited: float, busy: float) -> None:
-    clock = Hand()
+def test_time_not_spent_waiting_counts_as_utilization(
+    waited: float, busy: float
+) -> None:
+    clock = FakeClock()
     meter = LoopLoad(clock)
     for _ in range(20):
         clock.seconds += 1
@@ -36,15 +38,15 @@
     assert utilization == pytest.approx(busy, abs=0.01)
 
 
-def test_a_moment_of_work_is_no_load() -> None:
-    clock = Hand()
+def test_a_short_burst_of_work_is_not_load() -> None:
+    clock = FakeClock()
     meter = LoopLoad(clock)
     clock.seconds += 0.3
-    assert meter.utilization() < AFTER_A_MOMENT
+    assert meter.utilization() < NEGLIGIBLE
 
 
-def test_asking_twice_at_once_changes_nothing() -> None:
-    clock = Hand()
+def test_reading_twice_in_a_row_changes_nothing() -> None:
+    clock = FakeClock()
     meter = LoopLoad(clock)
     clock.seconds += 1
     first = meter.utilization()
@@ -52,7 +54,7 @@
     assert meter.utilization() == pytest.approx(first)
 
 
-def test_a_loop_that_works_knows_it_and_one_that_waits_too() -> None:
+def test_a_working_loop_reports_more_utilization_than_an_idle_one() -> None:
     async def work() -> tuple[float, float]:
         until = time.monotonic() + 0.5
         while time.monotonic() < until:
@@ -66,25 +68,25 @@
     assert rested < worked
 
 
-def test_another_loop_is_not_known_to_be_busy() -> None:
+def test_an_unmetered_loop_reports_no_utilization() -> None:
     async def ask() -> float:
         return loop_utilization()
 
     assert asyncio.run(ask()) == 0
 
 
-def test_the_longest_turn_without_a_look_at_sockets_is_told_once() -> None:
+def test_the_longest_turn_without_a_poll_is_reported_once() -> None:
     async def work() -> tuple[float, float]:
         await asyncio.sleep(0.01)
         take_longest_turn()
-        time.sleep(HELD_UP_SECONDS)
+        time.sleep(BLOCKED_SECONDS)
         await asyncio.sleep(0.01)
         return take_longest_turn(), take_longest_turn()
 
     with asyncio.Runner(loop_factory=MeteredLoop) as runner:
-        held_up, after = runner.run(work())
-    assert held_up >= HELD_UP_SECONDS
-    assert after < held_up
+        blocked, after = runner.run(work())
+    assert blocked >= BLOCKED_SECONDS
+    assert after < blocked
 
 
 @pytest.mark.parametrize(
@@ -94,7 +96,7 @@
 def test_the_lag_is_how_long_an_event_waits_for_a_turn(
     turn: float, wait: float, lag: float
 ) -> None:
-    clock = Hand()
+    clock = FakeClock()
     meter = LoopLoad(clock)
     for _ in range(200):
         clock.seconds += turn
@@ -104,11 +106,11 @@
     assert meter.lag == pytest.approx(lag, abs=0.03)
 
 
-def test_a_suspension_is_no_lag_for_long() -> None:
-    clock = Hand()
+def test_a_suspension_barely_raises_the_lag() -> None:
+    clock = FakeClock()
     meter = LoopLoad(clock)
     clock.seconds += 60
     began = meter.begin_poll()
     clock.seconds += 1
     meter.end_poll(began)
-    assert meter.lag < AFTER_A_MOMENT
+    assert meter.lag < NEGLIGIBLE
--- a/tests/cover/test_cache_moves.py
+++ b/tests/cover/test_cache_moves.py
@@ -81,7 +81,7 @@
         (TARGET, {SOURCE: ['cache-asked'], TARGET: ['cache-given']}),
     ],
 )
-async def test_no_further_move_is_tried_while_an_engine_wants_a_pause(
+async def test_no_move_is_tried_during_the_retry_after_of_an_engine(
     site: Site,
     paused: str,
     calls: dict[str, list[str]],
--- a/tests/cover/test_caller_left.py
+++ b/tests/cover/test_caller_left.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize('left', [False, True])
-async def test_a_granted_request_is_sent_only_while_its_caller_is_there(
+async def test_a_granted_request_is_sent_only_while_its_caller_is_connected(
     left: bool,
 ) -> None:
     sent: list[str] = []
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -27,7 +27,7 @@
 SECONDS = 5.0
 
 
-class Ending:
+class CrashingUpstream:
     """An upstream that ends as it takes its next connection."""
 
     def __init__(self) -> None:
@@ -45,22 +45,22 @@
         writer.transport.abort()
 
 
-def of_router(address: Address) -> Probe:
+def router_probe(address: Address) -> Probe:
     return partial(accepts_connections, address)
 
 
-def of_box(address: Address) -> Probe:
+def box_probe(address: Address) -> Probe:
     upstream = replace(engine('e0'), address=address)
     return partial(ConnectionPool(boot_seconds).is_reachable, upstream)
 
 
-@pytest.mark.parametrize('asker', [of_router, of_box])
-async def test_an_end_that_still_took_a_connection_is_found(
+@pytest.mark.parametrize('asker', [router_probe, box_probe])
+async def test_a_crash_after_an_accepted_connection_is_detected(
     asker: Callable[[Address], Probe],
 ) -> None:
     ended: list[UpstreamIncarnation] = []
     crash_detector = CrashDetector(Quarantine(boot_seconds, Signal()), ended.append)
-    reaches = asker(await Ending().listen())
+    reaches = asker(await CrashingUpstream().listen())
     crash_detector.record_broken_response(
         UpstreamIncarnation('e0'), fingerprint_of(b'lethal'), reaches
     )
--- a/tests/cover/test_machine.py
+++ b/tests/cover/test_machine.py
@@ -108,7 +108,7 @@
     assert submit(machine, put('x', 2), 'bob', 1) == Applied(version=2)
 
 
-def test_forgotten_number_is_refused_rather_than_run() -> None:
+def test_expired_number_is_refused_rather_than_run() -> None:
     machine = StateMachine(RETENTION)
     for number in range(10, 200):
         submit(machine, put('x', number), 'ann', number)
@@ -166,7 +166,7 @@
     assert submit(machine, claim(request='r2')) == Granted()
 
 
-def test_ledger_forgets_after_the_retention() -> None:
+def test_claims_expire_after_the_retention() -> None:
     machine = StateMachine(RETENTION)
     submit(machine, claim())
     submit(machine, put('x'), taken_at=1000 + RETENTION)
@@ -176,13 +176,13 @@
 
 def test_epochs_only_rise() -> None:
     machine = StateMachine(RETENTION)
-    for life in ('one', 'two', 'one'):
+    for incarnation in ('one', 'two', 'one'):
         submit(
             machine,
             AssignShard(
                 shard=ShardId('p/0'),
                 router='r',
-                incarnation=Incarnation(life),
+                incarnation=Incarnation(incarnation),
             ),
         )
     assert reloaded(machine).state.duties[ShardId('p/0')].epoch == 3
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -98,7 +98,7 @@
     return Site(leader, engine, server, records)
 
 
-async def test_new_leader_waits_out_the_flight_of_earlier_orders(site: Site) -> None:
+async def test_new_leader_waits_for_orders_in_flight(site: Site) -> None:
     finished = await site.carry_out()
     assert [one.state for one in finished] == ['done']
     elected_at = site.leader.replica.leadership.started_at
@@ -106,21 +106,21 @@
     assert boot_seconds() - elected_at >= FLIGHT
 
 
-async def test_what_an_earlier_leader_did_unseen_is_not_repeated(site: Site) -> None:
+async def test_an_order_run_by_an_earlier_leader_is_not_resent(site: Site) -> None:
     site.engine.loaded.add('m')
     finished = await site.carry_out()
     assert [one.state for one in finished] == ['done']
     assert not site.sent()
 
 
-async def test_leader_out_of_office_sends_nothing(site: Site) -> None:
+async def test_deposed_leader_sends_nothing(site: Site) -> None:
     site.leader.checks_left = 0
     assert not await site.carry_out()
     assert not site.sent()
 
 
 @pytest.mark.parametrize('checks_fences', [True, False])
-async def test_an_order_waits_for_the_pause_that_an_upstream_asks_for(
+async def test_an_order_waits_for_the_retry_after_of_its_upstream(
     site: Site,
     checks_fences: bool,
 ) -> None:
--- a/tests/cover/test_ports.py
+++ b/tests/cover/test_ports.py
@@ -60,7 +60,7 @@
     close(ports)
 
 
-def test_the_end_of_the_ports_is_an_error_and_no_wait(area: tuple[int, int]) -> None:
+def test_exhausted_ports_raise_an_error_without_waiting(area: tuple[int, int]) -> None:
     ports = Ports(*area)
     with pytest.raises(PortsTakenError):
         for _ in range(FEW + 1):
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -40,7 +40,7 @@
 OTHER = Fingerprint(b'other')
 
 
-class ByHand:
+class FakeClock:
     """A clock that is moved by hand."""
 
     def __init__(self) -> None:
@@ -50,11 +50,13 @@
         return self.seconds
 
 
-def quarantine_by(clock: ByHand) -> Quarantine:
+def quarantine_with(clock: FakeClock) -> Quarantine:
     return Quarantine(clock.now, Signal())
 
 
-def end_lives(quarantine: Quarantine, *open_there: tuple[Fingerprint, ...]) -> None:
+def crash_incarnations(
+    quarantine: Quarantine, *open_there: tuple[Fingerprint, ...]
+) -> None:
     for number, there in enumerate(open_there):
         quarantine.record_crash(UpstreamIncarnation(f'e{number}'), there)
 
@@ -88,30 +90,30 @@
         ),
     ],
 )
-def test_blame_goes_to_what_was_at_most_ends(case: Blame) -> None:
-    quarantine = quarantine_by(ByHand())
-    end_lives(quarantine, *case.ends)
+def test_the_request_in_flight_at_most_crashes_is_blamed(case: Blame) -> None:
+    quarantine = quarantine_with(FakeClock())
+    crash_incarnations(quarantine, *case.ends)
     blamed = {one for one in (LETHAL, SOUND, OTHER) if quarantine.is_quarantined(one)}
     assert blamed == case.blamed
 
 
-def test_one_end_counts_once_however_many_boxes_saw_it() -> None:
-    quarantine = quarantine_by(ByHand())
+def test_one_crash_counts_once_however_many_boxes_saw_it() -> None:
+    quarantine = quarantine_with(FakeClock())
     for _ in range(5):
         quarantine.record_crash(UpstreamIncarnation('e0'), [LETHAL])
     assert not quarantine.is_quarantined(LETHAL)
 
 
-def test_ends_that_are_long_past_are_forgotten() -> None:
-    clock = ByHand()
-    quarantine = quarantine_by(clock)
-    end_lives(quarantine, (LETHAL,), (LETHAL,))
+def test_old_crashes_expire() -> None:
+    clock = FakeClock()
+    quarantine = quarantine_with(clock)
+    crash_incarnations(quarantine, (LETHAL,), (LETHAL,))
     clock.seconds += CRASH_TTL_SECONDS + 1
     quarantine.record_crash(UpstreamIncarnation('late'), [LETHAL])
     assert not quarantine.is_quarantined(LETHAL)
 
 
-def test_what_is_remembered_of_ends_is_bounded() -> None:
+def test_recorded_crashes_are_bounded() -> None:
     crashes = CrashHistory(float)
     for number in range(MAX_CRASH_RECORDS + 100):
         crashes.add(CrashRecord(Fingerprint(b'%d' % number), UpstreamIncarnation('e')))
@@ -132,9 +134,9 @@
     [(0, True), (QUARANTINE_SECONDS - 1, True), (QUARANTINE_SECONDS, False)],
 )
 def test_a_quarantine_ends_after_its_time(seconds: float, held: bool) -> None:
-    clock = ByHand()
-    quarantine = quarantine_by(clock)
-    end_lives(quarantine, (LETHAL,), (LETHAL,), (LETHAL,))
+    clock = FakeClock()
+    quarantine = quarantine_with(clock)
+    crash_incarnations(quarantine, (LETHAL,), (LETHAL,), (LETHAL,))
     clock.seconds += seconds
     assert quarantine.is_quarantined(LETHAL) is held
 
@@ -143,19 +145,19 @@
     ('before', 'held'),
     [(0.0, False), (ANSWER_TTL_SECONDS - 1, False), (ANSWER_TTL_SECONDS + 1, True)],
 )
-def test_an_answer_of_late_speaks_for_a_content(before: float, held: bool) -> None:
-    clock = ByHand()
-    quarantine = quarantine_by(clock)
+def test_a_recent_answer_clears_a_request(before: float, held: bool) -> None:
+    clock = FakeClock()
+    quarantine = quarantine_with(clock)
     quarantine.record_answer(SOUND)
     clock.seconds += before
-    end_lives(quarantine, (SOUND,), (SOUND,), (SOUND,))
+    crash_incarnations(quarantine, (SOUND,), (SOUND,), (SOUND,))
     assert quarantine.is_quarantined(SOUND) is held
 
 
-def test_an_answer_elsewhere_clears_a_content_for_all() -> None:
-    clock = ByHand()
-    hub, box = quarantine_by(clock), quarantine_by(clock)
-    end_lives(hub, (SOUND,), (SOUND,), (SOUND,))
+def test_an_answer_elsewhere_clears_a_request_for_all() -> None:
+    clock = FakeClock()
+    hub, box = quarantine_with(clock), quarantine_with(clock)
+    crash_incarnations(hub, (SOUND,), (SOUND,), (SOUND,))
     box.record_answer(SOUND)
     news, _ = hub.update_since(SYNC_START)
     box.merge(news, 'hub')
@@ -165,26 +167,26 @@
     assert not hub.is_quarantined(SOUND)
 
 
-def test_a_content_that_was_cleared_is_not_blamed_for_the_same_ends_again() -> None:
-    clock = ByHand()
-    hub, box = quarantine_by(clock), quarantine_by(clock)
-    end_lives(box, (SOUND,), (SOUND,), (SOUND,))
+def test_a_cleared_request_is_not_blamed_for_the_same_crashes_again() -> None:
+    clock = FakeClock()
+    hub, box = quarantine_with(clock), quarantine_with(clock)
+    crash_incarnations(box, (SOUND,), (SOUND,), (SOUND,))
     box.record_answer(SOUND)
     hub.merge(box.update_since(SYNC_START)[0], 'box')
     assert not hub.is_quarantined(SOUND)
 
 
-def test_an_end_that_is_told_again_is_no_news() -> None:
-    hub, box = quarantine_by(ByHand()), quarantine_by(ByHand())
-    end_lives(box, (LETHAL,), (LETHAL, SOUND))
+def test_a_crash_reported_again_is_not_propagated() -> None:
+    hub, box = quarantine_with(FakeClock()), quarantine_with(FakeClock())
+    crash_incarnations(box, (LETHAL,), (LETHAL, SOUND))
     news, _ = box.update_since(SYNC_START)
     assert hub.merge(news, 'box') == {'e0', 'e1'}
     assert hub.merge(news, 'box') == set()
 
 
-def test_only_what_is_new_is_told() -> None:
-    quarantine = quarantine_by(ByHand())
-    end_lives(quarantine, (LETHAL,), (LETHAL,))
+def test_only_changes_are_propagated() -> None:
+    quarantine = quarantine_with(FakeClock())
+    crash_incarnations(quarantine, (LETHAL,), (LETHAL,))
     first, told = quarantine.update_since(SYNC_START)
     quarantine.record_crash(UpstreamIncarnation('third'), [LETHAL])
     second, told = quarantine.update_since(told)
@@ -208,8 +210,8 @@
     ),
     st.integers(1, 6),
 )
-def test_verdicts_end_alike_in_any_order(order: list[Verdict], again: int) -> None:
-    verdicts = Verdicts(ByHand().now)
+def test_verdicts_converge_in_any_order(order: list[Verdict], again: int) -> None:
+    verdicts = Verdicts(FakeClock().now)
     heard = order + order[:again]
     for verdict in heard:
         verdicts.merge(verdict)
@@ -217,8 +219,8 @@
 
 
 def test_news_comes_through_a_message_with_its_age() -> None:
-    quarantine = quarantine_by(ByHand())
-    end_lives(quarantine, (LETHAL, SOUND), (LETHAL,), (LETHAL,))
+    quarantine = quarantine_with(FakeClock())
+    crash_incarnations(quarantine, (LETHAL, SOUND), (LETHAL,), (LETHAL,))
     news, _ = quarantine.update_since(SYNC_START)
     decoded = decode_update(encode_update(news, 1002.5), 50.0)
     assert decoded.crashes == news.crashes
@@ -241,10 +243,10 @@
 
 
 @pytest.mark.parametrize('reached', [False, True])
-async def test_an_upstream_is_asked_once_for_all_that_broke_off_there(
+async def test_an_upstream_is_probed_once_for_all_broken_responses(
     reached: bool,
 ) -> None:
-    quarantine = quarantine_by(ByHand())
+    quarantine = quarantine_with(FakeClock())
     ended: list[UpstreamIncarnation] = []
     asked = count()
     crash_detector = CrashDetector(quarantine, ended.append)
@@ -264,11 +266,11 @@
 @pytest.mark.parametrize(
     ('seconds', 'counted'), [(1, True), (SUSPICION_TTL_SECONDS + 1, False)]
 )
-async def test_a_life_replaced_at_once_at_its_address_has_ended(
+async def test_an_incarnation_replaced_at_its_address_has_crashed(
     seconds: float, counted: bool
 ) -> None:
-    clock = ByHand()
-    quarantine = quarantine_by(clock)
+    clock = FakeClock()
+    quarantine = quarantine_with(clock)
     crash_detector = CrashDetector(quarantine, str)
 
     async def reaches() -> bool:
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -118,7 +118,7 @@
     assert view.reachable_pools(AccountName('b')) == (pool,)
 
 
-def test_deleted_key_opens_nothing() -> None:
+def test_deleted_key_authenticates_nobody() -> None:
     view = view_of(*BASE)
     change(view, written(Account(name='a', key_hashes=('new',))))
     assert 'h' not in view.account_by_key
@@ -173,7 +173,7 @@
     return ShardEntry(shard='p/0', router='r', epoch=epoch)
 
 
-def test_late_word_of_an_earlier_epoch_is_ignored() -> None:
+def test_late_message_of_an_earlier_epoch_is_ignored() -> None:
     directory = FleetDirectory()
     directory.update(Directory(shards=[shard(2)]))
     directory.update(Directory(shards=[shard(1)]))
@@ -199,7 +199,7 @@
     return [UsageSum(shard='p/0', account=one, cost=n) for one, n in costs.items()]
 
 
-def test_usage_counts_once_whatever_is_repeated_or_late() -> None:
+def test_usage_counts_once_if_repeated_or_late() -> None:
     table = UsageTable()
     for report in (sums(a=10), sums(a=30), sums(a=10), sums(a=30)):
         table.merge('life', report)
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -105,7 +105,7 @@
     assert gap <= 8 * COST
 
 
-def test_wrong_hints_do_not_pay() -> None:
+def test_wrong_cost_hints_gain_nothing() -> None:
     bench = Bench()
     for _ in range(300):
         for _ in range(5):
@@ -184,7 +184,7 @@
     assert head.deadline == 100
 
 
-def test_late_tickets_are_taken_out() -> None:
+def test_late_tickets_are_removed() -> None:
     bench = Bench()
     bench.submit('a', deadline=5)
     bench.submit('a')
@@ -192,7 +192,7 @@
     assert len(bench.scheduler.tickets) == 1
 
 
-def test_full_queue_says_when_to_come_back() -> None:
+def test_full_queue_reports_when_to_retry() -> None:
     bench = Bench(queue_limit=2)
     answers = [bench.submit('a') for _ in range(3)]
     assert answers[:2] == [None, None]
@@ -215,7 +215,7 @@
     assert bench.grant() == ['b']
 
 
-def test_slots_of_a_lost_router_come_back() -> None:
+def test_slots_of_a_lost_router_are_released() -> None:
     bench = Bench(slots=2)
     bench.keep_backlogged('a')
     bench.grant()
@@ -224,7 +224,7 @@
     assert bench.scheduler.capacity.free_slots() == 2
 
 
-def test_failing_upstream_gets_a_pause_then_one_trial() -> None:
+def test_failing_upstream_gets_a_backoff_then_one_trial() -> None:
     load = UpstreamLoad(8, 8.0)
     load.record_failure(0)
     assert load.free_slots(0.1) == 0
@@ -243,7 +243,7 @@
     assert load.limit == 8
 
 
-def test_leaving_upstream_gets_nothing_and_keeps_what_runs() -> None:
+def test_draining_upstream_gets_no_work_and_keeps_running_requests() -> None:
     bench = Bench(slots=2)
     bench.submit('a')
     bench.grant()
@@ -265,7 +265,7 @@
     assert bench.grant() == ['a']
 
 
-class Keeper:
+class NullSlotOwner:
     """Takes slots back and says nothing."""
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
@@ -277,7 +277,7 @@
 
 def test_one_late_token_does_not_lower_a_limit() -> None:
     """Worst gaps were reported, and a busy box lost a tenth of its slots."""
-    slot = Slot(Ticket(), Keeper(), UpstreamName('u'))
+    slot = Slot(Ticket(), NullSlotOwner(), UpstreamName('u'))
     for gap in (0.05, 0.05, 0.05, 0.05, 0.12):
         slot.record_gap(gap)
     load = UpstreamLoad(8, 8.0)
--- a/tests/cover/test_storage.py
+++ b/tests/cover/test_storage.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize('cut', [1, 7, 8, 20])
-async def test_torn_tail_is_cut(tmp_path: Path, cut: int) -> None:
+async def test_torn_tail_is_truncated(tmp_path: Path, cut: int) -> None:
     await write_three(tmp_path)
     path = segment_of(tmp_path)
     path.write_bytes(path.read_bytes()[:-cut])
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize('written', [0, 5])
 @pytest.mark.parametrize('refusals', [1, 3])
-async def test_a_disk_that_was_full_takes_everything_anew(
+async def test_a_replica_recovers_once_a_full_disk_has_space(
     written: int,
     refusals: int,
     tmp_path: Path,
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize('harm', [lose_identity, take_other_box])
-def test_doubtful_folder_is_refused(
+def test_inconsistent_folder_is_refused(
     tmp_path: Path,
     harm: Callable[[Path], None],
 ) -> None:
@@ -221,7 +221,7 @@
         open_identity(tmp_path, BoxName('a'))
 
 
-async def test_flush_that_loses_its_caller_is_still_done(tmp_path: Path) -> None:
+async def test_flush_completes_after_its_caller_is_cancelled(tmp_path: Path) -> None:
     """A peer's call that timed out left its entries unsynced for ever."""
     log = DurableLog(tmp_path)
     log.append([entry(1)])
--- a/tests/cover/test_suspended_timers.py
+++ b/tests/cover/test_suspended_timers.py
@@ -56,11 +56,11 @@
 
 
 @pytest.mark.parametrize('wait', [timeout, wait_for, sleep, signal])
-def test_a_time_limit_that_passed_in_a_suspension_is_over_after_it(
+def test_a_timeout_that_elapsed_in_a_suspension_fires_after_it(
     wait: Wait,
     suspend: Callable[[float], None],
 ) -> None:
-    async def over_after_it() -> bool:
+    async def fires_after_it() -> bool:
         waiting = asyncio.ensure_future(wait())
         await asyncio.sleep(0)
         suspend(2 * HOUR)
@@ -72,4 +72,4 @@
         return over
 
     with asyncio.Runner(loop_factory=MeteredLoop) as runner:
-        assert runner.run(over_after_it())
+        assert runner.run(fires_after_it())
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -228,7 +228,7 @@
     assert not check_own_answers(pairs)
 
 
-async def test_no_engine_left_is_said_truly(fleet: Fleet) -> None:
+async def test_the_error_without_any_engine_is_accurate(fleet: Fleet) -> None:
     for engine in fleet.engines:
         await callers.set_faults(engine, die_after=0)
     reply = await callers.chat(fleet.routers[1], 'nobody')
@@ -319,7 +319,7 @@
     assert callers.begun_at(fleet, fleet.engines[1])[-1] > left_at + 3
 
 
-async def test_drained_box_is_handed_out_no_more(fleet: Fleet) -> None:
+async def test_address_of_a_drained_box_is_not_returned(fleet: Fleet) -> None:
     drained = f'127.0.0.1:{fleet.routers[1].port}'
 
     async def handed_out() -> list[str]:
@@ -363,7 +363,7 @@
         (('apply', 'missing.toml'), 2, 'missing.toml'),
     ],
 )
-def test_operators_mistakes_end_in_one_clear_line(
+def test_operator_errors_print_one_clear_line(
     fleet: Fleet,
     arguments: tuple[str, ...],
     code: int,
--- a/tests/failures/test_backpressure.py
+++ b/tests/failures/test_backpressure.py
@@ -39,7 +39,7 @@
     return [await callers.chat(router, f'prompt {number}') for number in range(times)]
 
 
-async def until_told(fleet: Fleet, pauses: list[float]) -> None:
+async def request_retry_after(fleet: Fleet, pauses: list[float]) -> None:
     """Have each engine ask for its pause once, and serve from then on."""
     await callers.until_ready(fleet)
     for engine, pause in zip(fleet.engines, pauses, strict=True):
@@ -52,10 +52,10 @@
     await asyncio.sleep(1)
 
 
-async def test_an_engine_that_asked_for_a_pause_gets_nothing_until_it_is_over(
+async def test_an_engine_gets_no_request_during_its_retry_after(
     fleet: Fleet,
 ) -> None:
-    await until_told(fleet, [PAUSE, 0.1])
+    await request_retry_after(fleet, [PAUSE, 0.1])
     paused, other = fleet.engines
     for _ in range(3):
         # More at once than the other engine has slots.
@@ -67,17 +67,17 @@
     assert events(fleet, other, 'taken') == 1 + 24
 
 
-async def test_a_caller_is_told_when_the_first_pause_of_all_engines_is_over(
+async def test_a_caller_gets_the_shortest_retry_after_of_all_engines(
     fleet: Fleet,
 ) -> None:
-    await until_told(fleet, [PAUSE, PAUSE * 10])
+    await request_retry_after(fleet, [PAUSE, PAUSE * 10])
     replies = await chat(fleet, 4)
     assert [(reply.status, reply.ran) for reply in replies] == [(503, 'not-run')] * 4
     assert all(1 < float(reply.retry_after) <= PAUSE for reply in replies)
     assert [events(fleet, engine, 'taken') for engine in fleet.engines] == [1, 1]
 
 
-async def test_a_plain_service_that_asked_for_a_pause_gets_none_of_the_next_calls(
+async def test_a_plain_service_gets_no_call_during_its_retry_after(
     fleet: Fleet,
 ) -> None:
     await callers.until_ready(fleet)
--- a/tests/failures/test_lethal_requests.py
+++ b/tests/failures/test_lethal_requests.py
@@ -36,7 +36,7 @@
             asked += 1
 
 
-async def test_a_repeat_ends_no_further_engine(tmp_path: Path) -> None:
+async def test_a_retry_crashes_no_further_engine(tmp_path: Path) -> None:
     with running_fleet(tmp_path, FleetSize(routers=3, engines=ENGINES)) as fleet:
         path = callers.write_resources(fleet)
         fleet.hitchdeck('apply', str(path), '--wait')
--- a/tests/failures/test_processes.py
+++ b/tests/failures/test_processes.py
@@ -159,7 +159,7 @@
     assert not check_sessions_kept(['long'], [], present)
 
 
-async def test_thawed_router_does_not_dispatch_under_what_it_knew(
+async def test_resumed_router_does_not_dispatch_on_stale_state(
     fleet: Fleet,
 ) -> None:
     scheduler = await asyncio.to_thread(scheduler_of, fleet)
@@ -244,14 +244,15 @@
     keys = [callers.fresh_key(f'key-{number}') for number in range(12)]
     answers: list[Answer] = []
 
-    async def insist(key: str, turn: int) -> None:
+    async def retry_until_answered(key: str, turn: int) -> None:
         for attempt in range(6):
             router = fleet.routers[(turn + attempt) % 3]
             reply = await callers.confirm(router, key)
             answers.append(Answer(key, reply.ran, reply.body.decode()))
 
     working = [
-        asyncio.create_task(insist(key, turn)) for turn, key in enumerate(keys * 2)
+        asyncio.create_task(retry_until_answered(key, turn))
+        for turn, key in enumerate(keys * 2)
     ]
     await asyncio.sleep(0.05)
     fleet.routers[0].kill()
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -55,7 +55,7 @@
 )
 
 
-class Play:
+class EventRunner:
     """Applies drawn events to a fleet."""
 
     def __init__(self) -> None:
@@ -102,10 +102,10 @@
 
 
 @given(EVENTS, st.integers(0, 2**16))
-def test_all_end_alike_after_a_bounded_number_of_records(
+def test_all_registries_converge_after_a_bounded_number_of_records(
     events: list[Event], seed: int
 ) -> None:
-    play = Play()
+    play = EventRunner()
     for event in events:
         play.apply(event)
     fleet = play.fleet
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -9,10 +9,10 @@
 from soak.fleet import Fleet
 
 
-class PaperProcess:
+class FakeProcess:
     """A process that exists on paper only, and runs until it is killed."""
 
-    started: list['PaperProcess']
+    started: list['FakeProcess']
 
     def __init__(self, *_arguments: object, **_options: object) -> None:
         self.runs = True
@@ -32,17 +32,17 @@
 
 
 @pytest.fixture
-def started(monkeypatch: pytest.MonkeyPatch) -> list[PaperProcess]:
+def started(monkeypatch: pytest.MonkeyPatch) -> list[FakeProcess]:
     """Return the processes that are started, in their order."""
-    monkeypatch.setattr(PaperProcess, 'started', [], raising=False)
-    monkeypatch.setattr(fleet.subprocess, 'Popen', PaperProcess)
-    return PaperProcess.started
+    monkeypatch.setattr(FakeProcess, 'started', [], raising=False)
+    monkeypatch.setattr(fleet.subprocess, 'Popen', FakeProcess)
+    return FakeProcess.started
 
 
 @pytest.mark.parametrize('role', ['hub', 'box'])
 def test_a_program_that_runs_is_not_started_beside_itself(
     role: str,
-    started: list[PaperProcess],
+    started: list[FakeProcess],
     tmp_path: Path,
 ) -> None:
     # Two faults that hit one box each start it again; the first process was
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize('starts', [1, 2, 5])
 async def test_a_soak_that_fails_to_start_stops_what_it_started(
     starts: int,
-    started: list[PaperProcess],
+    started: list[FakeProcess],
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
