--- a/tests/cover/test_agreement.py
+++ b/tests/cover/test_agreement.py
@@ -1,4 +1,4 @@
-"""The control group under loss of leaders, disks and links."""
+"""The Raft group of the control boxes under loss of leaders, disks and links."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 
 @pytest_asyncio.fixture
 async def group(tmp_path: Path) -> AsyncIterator[Group]:
-    """Return a group of three."""
+    """Return a running group of three replicas."""
     three = Group(tmp_path)
     for name in ('a', 'b', 'c'):
         three.start(name)
@@ -30,7 +30,7 @@
 
 
 def accounts_of(group: Group, name: str) -> set[str]:
-    """Return the accounts that a replica knows."""
+    """Return the accounts in the state machine of a replica."""
     return set(group.nodes[name].machine.state.resources)
 
 
@@ -78,7 +78,11 @@
 
 
 async def test_return_after_a_long_cut_does_not_depose(group: Group) -> None:
-    """Without the pre-vote, the one cut off came back with a higher term."""
+    """Guards the pre-vote.
+
+    Without it a partitioned replica keeps raising its term, and deposes the leader
+    when it reconnects.
+    """
     leader = await group.leader()
     away = next(name for name in group.nodes if name != leader.name)
     group.cut.add(away)
@@ -122,7 +126,7 @@
 
 
 async def replace_by_leader(group: Group, victim: str) -> Node:
-    """Replace a box's replica through whoever leads, trying until it works."""
+    """Replace the replica of a box through the current leader; retry on failure."""
     while True:
         leader = await group.leader()
         try:
@@ -138,7 +142,7 @@
     victim = next(name for name in group.nodes if name != leader.name)
     await group.stop(victim)
     group.start(victim, folder='new-disk')
-    # Twice; a leader that loses office meanwhile is followed by the next.
+    # Each replacement may be carried out by a different leader.
     for _ in range(2):
         leader = await replace_by_leader(group, victim)
     assert len(leader.replica.voters()) == 3
@@ -163,10 +167,11 @@
 
 
 async def test_newcomer_that_has_not_heard_that_it_votes_elects(group: Group) -> None:
-    """Three hubs, the leader lost right after it had promoted a newcomer.
+    """A learner votes before it has received the entry that promotes it.
 
-    The promotion was committed by the other two, the newcomer refused its vote
-    as a learner, and the group had no leader for good (seen once in a run of
+    If the leader of three hubs crashes right after the others have committed the
+    promotion, a newcomer that rejects votes as a learner leaves the group without
+    a leader for good (seen once in a run of
     test_a_document_survives_the_loss_of_the_leader_and_its_disk under load).
     """
     leader = await group.leader()
--- a/tests/cover/test_busyness.py
+++ b/tests/cover/test_busyness.py
@@ -1,4 +1,4 @@
-"""How busy a process is, as it sees itself."""
+"""Utilization and lag that an event loop measures of itself."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 class FakeClock:
-    """A clock that is set by hand."""
+    """A clock that the test sets."""
 
     seconds = 0.0
 
--- a/tests/cover/test_cache_moves.py
+++ b/tests/cover/test_cache_moves.py
@@ -1,7 +1,7 @@
-"""A session's cache is neither asked of nor given to an engine that wants a pause.
+"""A router neither fetches nor stores a session's cache during a Retry-After.
 
-Moving a cache is a call like any other, which an engine may turn away; the next move
-of any session went to it again at once.
+An engine may reject a cache transfer like any other call.  Without this check the next
+move of any session calls the engine again at once.
 """
 
 from collections.abc import AsyncIterator
@@ -27,7 +27,7 @@
 
 
 class Site:
-    """Two engines, the first of which has a session's cache."""
+    """Two engines; the first holds the cache of a session."""
 
     def __init__(self, folder: Path) -> None:
         self.engines: dict[str, Engine] = {}
@@ -51,12 +51,12 @@
         )
 
     async def move(self) -> bool:
-        """Move the session's cache; tell whether it was."""
+        """Move the session's cache; return whether it was moved."""
         target = self.upstreams[TARGET]
         return await move_cache(self.context, SESSION, SOURCE, target)
 
     def calls(self, name: str) -> list[object]:
-        """Return what was asked of an engine, in order."""
+        """Return the events that an engine recorded, in order."""
         return [line['event'] for line in read_records(self.folder / name)]
 
 
--- a/tests/cover/test_caller_left.py
+++ b/tests/cover/test_caller_left.py
@@ -1,9 +1,9 @@
-"""A router sends nothing for a caller whose close has reached it.
+"""A router sends no request upstream after its caller has disconnected.
 
-The close of a caller lies in the router's own socket until the event loop turns.
-Entry boxes of the platform, which learned of it in the same way, sent a request on
-1.5 s after its caller's close while they were behind; between a slot's grant and the
-call a router does not turn its loop either.
+The close of a connection stays in the socket until the event loop polls it, and a
+router does not poll between the grant of a slot and the call.  Overloaded entry boxes
+of the platform, which detect a close in the same way, forwarded a request 1.5 s after
+its caller had disconnected.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 def context_of(released: list[bool]) -> Any:
-    """Return a router's context in which one slot is granted at once."""
+    """Return a router context that grants a slot at once."""
 
     async def acquire(*_: object) -> object:
         return SimpleNamespace(
--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -1,10 +1,10 @@
-"""An upstream that still takes a connection while it ends has ended.
+"""A crash is detected even if the upstream still accepts a connection meanwhile.
 
-Three engines ended under one request, within 30 ms; the router that saw it found one
-of these ends.  Asked for a connection right after their answers had broken off, the
-other two still took it: the kernel closes what a process has open one after the other,
-and the port it listens on need not be first.  So the request was not kept away, and two
-more engines ended under it.
+The kernel closes the descriptors of a crashed process one after the other, and the
+listening socket need not be the first.  When one request crashed three engines within
+30 ms, two of them still accepted the probe that followed their broken responses: the
+router detected only one crash, did not quarantine the request, and it crashed two more
+engines.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 
 
 class CrashingUpstream:
-    """An upstream that ends as it takes its next connection."""
+    """An upstream that crashes as it accepts its next connection."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> Address:
-        """Listen on loopback; return where."""
+        """Listen on loopback; return the address."""
         self.server = await asyncio.start_server(self._end, '127.0.0.1', 0)
         host, port = self.server.sockets[0].getsockname()
         return Address(f'{host}:{port}')
--- a/tests/cover/test_history.py
+++ b/tests/cover/test_history.py
@@ -1,4 +1,4 @@
-"""The checker itself: it must reject a bad history of each kind."""
+"""The history checks reject a bad history of each kind and accept good ones."""
 
 from collections.abc import Callable
 
@@ -11,12 +11,12 @@
 
 
 def write(content: str, started: float, ended: float) -> Operation:
-    """Return a write."""
+    """Return a write operation."""
     return Operation(Kind.write, content, started, ended)
 
 
 def read(content: str, started: float, ended: float) -> Operation:
-    """Return a read."""
+    """Return a read operation."""
     return Operation(Kind.read, content, started, ended)
 
 
--- a/tests/cover/test_machine.py
+++ b/tests/cover/test_machine.py
@@ -1,4 +1,4 @@
-"""Commands: numbers, versions, claims, and snapshots of them."""
+"""The state machine: operator numbers, versions, claims and snapshots."""
 
 import hashlib
 
@@ -32,7 +32,7 @@
     number: int = 0,
     taken_at: float = 1000.0,
 ) -> Outcome:
-    """Apply a command as the leader would."""
+    """Apply a command in the way the leader does."""
     digest = hashlib.sha256(command_codec.dump_json(command)).hexdigest()
     submission = Submission(
         command=command,
@@ -55,7 +55,7 @@
     digest: str = 'd',
     issued: float = 1000.0,
 ) -> Claim:
-    """Return a claim."""
+    """Return a command that claims an idempotency key."""
     return Claim(
         account='a',
         key=key,
@@ -69,21 +69,21 @@
 
 
 def settle(ran: str, request: str = 'r1') -> Settle:
-    """Return an outcome."""
+    """Return a command that settles a claim with an outcome."""
     return Settle.model_validate(
         {'account': 'a', 'key': 'k', 'request': request, 'ran': ran, 'body': 'yes'},
     )
 
 
 def reloaded(machine: StateMachine) -> StateMachine:
-    """Return a machine made from another's snapshot."""
+    """Return a new machine that is loaded from the snapshot of another."""
     again = StateMachine(RETENTION)
     again.load(machine.dump())
     return again
 
 
 def code_of(outcome: Outcome) -> str:
-    """Return the code of a refusal, blank for anything else."""
+    """Return the code of a rejection, or an empty string for other outcomes."""
     return outcome.code if isinstance(outcome, Refused) else ''
 
 
@@ -134,7 +134,7 @@
 def test_second_claim_waits_and_then_gets_the_answer() -> None:
     machine = StateMachine(RETENTION)
     assert submit(machine, claim()) == Granted()
-    assert submit(machine, claim()) == Granted(), 'the holder asks again'
+    assert submit(machine, claim()) == Granted(), 'the holder of the claim retries'
     assert isinstance(submit(machine, claim(request='r2')), Pending)
     submit(machine, settle('ran'))
     machine = reloaded(machine)
--- a/tests/cover/test_moving.py
+++ b/tests/cover/test_moving.py
@@ -1,4 +1,4 @@
-"""Tickets that wait move to shards where work could start."""
+"""Pending tickets move to shards that can start work."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -42,7 +42,7 @@
 
 
 async def waiting_at(finder: SlotFinder, client: ShardClient) -> PendingTicket:
-    """Return a ticket that waits at a shard."""
+    """Return a ticket that is pending at a shard."""
     granted = asyncio.get_running_loop().create_future()
     pending = PendingTicket(Ticket(id=1), granted, boot_seconds())
     client.submit(pending)
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams that check no fence: one sender, and no repeats."""
+"""Orders to upstreams without fencing: a single sender and no duplicates."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
 
 @dataclass
 class FakeReplica:
-    """What the sender asks of a replica."""
+    """The part of a replica that the sender of orders uses."""
 
     leadership: Leadership
     term: int = 7
@@ -37,7 +37,7 @@
 
 @dataclass
 class FakeLeader:
-    """A leader that may lose office after some checks."""
+    """A leader that can be deposed after a number of checks."""
 
     machine: StateMachine
     replica: FakeReplica
@@ -45,24 +45,24 @@
     finished: list[FinishOrder] = field(default_factory=list)
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the current time."""
         return boot_seconds()
 
     def check_leads(self) -> None:
-        """Lose office in time."""
+        """Raise an error once the leader is deposed."""
         self.checks_left -= 1
         if self.checks_left < 0:
             raise NotLeaderError('')
 
     async def execute(self, command: Command) -> None:
-        """Note how an order ended."""
+        """Record the outcome of an order."""
         assert isinstance(command, FinishOrder)
         self.finished.append(command)
 
 
 @dataclass
 class Site:
-    """An engine, and a leader just elected with one order open."""
+    """An engine, and a newly elected leader with one unfinished order."""
 
     leader: FakeLeader
     engine: Engine
@@ -70,20 +70,20 @@
     records: Path
 
     async def carry_out(self) -> list[FinishOrder]:
-        """Have the order sent."""
+        """Send the order; return the recorded outcomes."""
         sender = OrderSender(cast(Leader, self.leader), WeightStore(1e9))
         await sender._execute_order(1, self.leader.machine.state.orders[1])
         return self.leader.finished
 
     def sent(self) -> list[float]:
-        """Return when the engine took orders."""
+        """Return the times at which the engine received orders."""
         lines = read_records(self.records)
         return [float(one['at']) for one in lines if one['event'] == 'order']
 
 
 @pytest.fixture
 async def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Site:
-    """Return a site whose engine checks no fence."""
+    """Return a site whose engine does not check fencing tokens."""
     monkeypatch.setattr(orders, 'FLIGHT_SECONDS', FLIGHT)
     port = free_ports(1)[0]
     records = tmp_path / 'records'
@@ -124,7 +124,10 @@
     site: Site,
     checks_fences: bool,
 ) -> None:
-    """An upstream that asked for a pause was asked again after 0.2 s, ten times."""
+    """Guards against ignoring Retry-After.
+
+    The sender used to retry after 0.2 s, ten times, whatever the upstream asked for.
+    """
     kept = site.leader.machine.state.resources['upstream/e'].resource
     assert isinstance(kept, Upstream)
     upstream = Upstream(name='e', address=kept.address, checks_fences=checks_fences)
--- a/tests/cover/test_ports.py
+++ b/tests/cover/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are picked stay the picker's own."""
+"""A picked port stays reserved for the process that picked it."""
 
 import socket
 import subprocess
@@ -18,12 +18,12 @@
 
 @pytest.fixture(name='area')
 def area_fixture() -> tuple[int, int]:
-    """Return a range of ports that no other test takes from."""
+    """Return a range of ports that no other test uses."""
     return FIRST + 10_000, FIRST + 10_000 + FEW
 
 
 def close(ports: Ports) -> None:
-    """Give the blocks back."""
+    """Release the reserved blocks."""
     for claim in ports.claims:
         claim.close()
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Contents under which upstreams end are told from those that were there by chance."""
+"""The quarantine tells requests that crash upstreams from bystanders."""
 
 from itertools import count
 from typing import NamedTuple
@@ -41,7 +41,7 @@
 
 
 class FakeClock:
-    """A clock that is moved by hand."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.seconds = 1000.0
@@ -66,7 +66,7 @@
 
 
 class Blame(NamedTuple):
-    """What was open at each end, and what is blamed."""
+    """The requests in flight at each crash, and those that are blamed."""
 
     ends: tuple[tuple[Fingerprint, ...], ...]
     blamed: set[Fingerprint]
@@ -78,12 +78,12 @@
         Blame(((LETHAL,), (LETHAL,)), set()),
         Blame(((LETHAL,), (LETHAL,), (LETHAL,)), {LETHAL}),
         Blame(((LETHAL, SOUND), (LETHAL, SOUND), (LETHAL, OTHER)), {LETHAL}),
-        # What was open beside a lethal one at later ends is not blamed for them.
+        # A request in flight beside a lethal one at later crashes is not blamed.
         Blame(((LETHAL,), *(((LETHAL, SOUND),) * 3)), {LETHAL}),
         Blame(((LETHAL,), *(((SOUND, LETHAL),) * 3)), {LETHAL}),
-        # Nothing tells two apart that were at all the same ends.
+        # Requests that were in flight at the same crashes are indistinguishable.
         Blame(((LETHAL, SOUND),) * 3, {LETHAL, SOUND}),
-        # Two lethal ones, with an end in common.
+        # Two lethal requests that share one crash.
         Blame(
             ((LETHAL,), (LETHAL,), (LETHAL, OTHER), (OTHER,), (OTHER,), (OTHER,)),
             {LETHAL, OTHER},
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -1,4 +1,4 @@
-"""What a router knows: configuration, lease, directory, placement, usage."""
+"""State of a router: configuration, lease, directory, placement, usage."""
 
 import pytest
 
@@ -71,7 +71,7 @@
 
 
 def change(view: FleetView, *changes: ResourceChange) -> None:
-    """Bring a view to its next version."""
+    """Advance a view to its next version."""
     version = view.version
     assert view.apply(
         Delta(from_version=version, version=version + 1, changes=changes),
@@ -153,7 +153,7 @@
     lease.renew(number, 3.0)
     assert lease.is_live()
     clock[0] = 2.9
-    assert not lease.is_live(), 'the answer took 2 of the 3 seconds'
+    assert not lease.is_live(), 'the answer used up 2 of the 3 seconds'
 
 
 def test_answer_to_an_unknown_beat_grants_nothing() -> None:
@@ -169,7 +169,7 @@
 
 
 def shard(epoch: int) -> ShardEntry:
-    """Return a shard's holder."""
+    """Return the directory entry of a shard at an epoch."""
     return ShardEntry(shard='p/0', router='r', epoch=epoch)
 
 
@@ -195,7 +195,7 @@
 
 
 def sums(**costs: int) -> list[UsageSum]:
-    """Return sums in one shard."""
+    """Return usage sums of accounts in one shard."""
     return [UsageSum(shard='p/0', account=one, cost=n) for one, n in costs.items()]
 
 
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler of a shard: turns, slots, rebuilt state."""
+"""The scheduler of a shard: order of service, slots, recovered state."""
 
 from dataclasses import dataclass, field
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class Bench:
-    """A scheduler with one engine, and a way to run requests through it."""
+    """A scheduler with one engine, and methods that run requests through it."""
 
     slots: int = 4
     overcommit: int = 0
@@ -64,18 +64,18 @@
         )
 
     def grant(self) -> list[str]:
-        """Grant what can be granted and return whose it is."""
+        """Grant as many tickets as possible; return their accounts."""
         return [one.ticket.account for one in self.scheduler.grants(self.now)]
 
     def finish_all(self, cost: float = COST) -> None:
-        """Finish whatever runs."""
+        """Finish all running requests."""
         for key, slot in list(self.scheduler.held.items()):
             self.served[slot.account] = self.served.get(slot.account, 0) + cost
             self.scheduler.report(key, cost, 0, self.now)
             self.scheduler.release(key, failed=False, now=self.now)
 
     def keep_backlogged(self, *accounts: str) -> None:
-        """See to it that accounts have tickets waiting."""
+        """Submit tickets so that each account has some pending."""
         for account in accounts:
             queue = self.scheduler.queues.get(AccountName(account))
             while queue is None or queue.length < 10:
@@ -257,7 +257,7 @@
 
 
 def test_ticket_that_avoids_every_upstream_still_gets_one() -> None:
-    """Such a ticket waited for ever, and its caller with it."""
+    """Guards against a ticket, and its caller, that wait forever."""
     bench = Bench()
     bench.submit('a')
     ticket = next(iter(bench.scheduler.tickets.values()))
@@ -266,7 +266,7 @@
 
 
 class NullSlotOwner:
-    """Takes slots back and says nothing."""
+    """A slot owner that ignores releases and progress reports."""
 
     def release(self, slot: Slot, *, failed: bool = False) -> None:
         """Do nothing."""
@@ -276,7 +276,10 @@
 
 
 def test_one_late_token_does_not_lower_a_limit() -> None:
-    """Worst gaps were reported, and a busy box lost a tenth of its slots."""
+    """Guards against reporting the largest gap between tokens.
+
+    With it, a box at high utilization lost a tenth of its slots.
+    """
     slot = Slot(Ticket(), NullSlotOwner(), UpstreamName('u'))
     for gap in (0.05, 0.05, 0.05, 0.05, 0.12):
         slot.record_gap(gap)
--- a/tests/cover/test_selectors.py
+++ b/tests/cover/test_selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: what matches, and what is refused with a clear word."""
+"""Selectors: which labels match, and which texts are rejected with a clear error."""
 
 import pytest
 
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each mistake ends in one line that names file, key and need."""
+"""Each invalid setting gives a one-line error with file, key and expected value."""
 
 from pathlib import Path
 
--- a/tests/cover/test_storage.py
+++ b/tests/cover/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable log: what a crash leaves, and what damage is refused."""
+"""The durable log: recovery after a crash, and detection of corruption."""
 
 import asyncio
 import errno
@@ -15,12 +15,12 @@
 
 
 def entry(index: int, term: int = 1, command: bytes = b'x') -> Entry:
-    """Return an entry."""
+    """Return a log entry."""
     return Entry(index=index, term=term, command=command)
 
 
 async def write_three(folder: Path) -> None:
-    """Write three entries, each synced by itself."""
+    """Write three entries, each with its own sync."""
     log = DurableLog(folder)
     for index in (1, 2, 3):
         log.append([entry(index, command=bytes([index]) * 50)])
@@ -31,7 +31,7 @@
 
 
 def segment_of(folder: Path) -> Path:
-    """Return the only segment."""
+    """Return the only log segment in a folder."""
     return next(folder.glob('wal-*.log'))
 
 
@@ -159,10 +159,10 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A replica that met a full disk counts again once there is space.
+    """A replica whose disk was full rejoins the group once there is space.
 
-    It stayed out until its process was started again; with another disk lost
-    meanwhile the group had no majority, and nobody could read its document.
+    Guards against a replica that stays out until its process restarts: if another
+    disk is lost meanwhile, the group has no majority and its document is unreadable.
     """
     log = DurableLog(tmp_path)
     log.save_vote(1, 'other')
@@ -194,13 +194,13 @@
 
 
 def lose_identity(folder: Path) -> None:
-    """Delete the identity but not the log."""
+    """Delete the identity file and keep the log."""
     (folder / 'identity').unlink()
     (folder / 'wal-0000000001.log').write_bytes(b'x')
 
 
 def take_other_box(folder: Path) -> None:
-    """Put another box's identity in place."""
+    """Replace the identity by that of another box."""
     (folder / 'identity').write_text('other#1')
 
 
@@ -222,7 +222,7 @@
 
 
 async def test_flush_completes_after_its_caller_is_cancelled(tmp_path: Path) -> None:
-    """A peer's call that timed out left its entries unsynced for ever."""
+    """Guards against entries that stay unsynced after the call of a peer timed out."""
     log = DurableLog(tmp_path)
     log.append([entry(1)])
     caller = asyncio.create_task(log.flush())
@@ -236,7 +236,10 @@
 
 
 async def test_entry_replaced_before_its_sync_is_read_once(tmp_path: Path) -> None:
-    """Found by the fuzzer: both stood in one record and were read as two."""
+    """Guards against reading an entry and its replacement as two entries.
+
+    The fuzzer found it: both were written in one record.
+    """
     log = DurableLog(tmp_path)
     log.append([entry(1)])
     log.append([entry(1, term=2)])
--- a/tests/cover/test_suspended_timers.py
+++ b/tests/cover/test_suspended_timers.py
@@ -1,10 +1,10 @@
-"""Time limits hold over a suspension of the machine.
+"""Timeouts count the time during which the machine is suspended.
 
-While a machine is suspended the steady clock stands still, and the clock since boot
-goes on.  Leases and ends of requests were kept by the latter, but the timers that cut
-them short ran on the event loop's clock, the former: a request whose time was over
-would have been held for as long as the machine had been away, and a silent link
-trusted.  No record shows it; it was found by looking for clocks that stand still.
+The monotonic clock stops during a suspension, the boot-time clock does not.  Leases and
+request deadlines use the boot-time clock; if their timers run on the monotonic clock of
+the event loop, a request past its deadline is held for as long as the suspension lasted,
+and a silent link is trusted as long.  The fault was found by a review of the clocks; no
+recorded run shows it.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[[float], None]]:
-    """Return what moves the clock since boot on, and no other."""
+    """Return a function that advances the boot-time clock and no other."""
     asleep = [0.0]
     given = time.clock_gettime
 
