--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -37,7 +37,7 @@
 
 TIMING = Timing(heartbeat=0.02, election_timeout=0.15, snapshot_every=50)
 
-_PATIENCE = 15.0
+_TIMEOUT_SECONDS = 15.0
 _POLL = 0.01
 
 
@@ -180,7 +180,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until something holds; fail if it does not for very long."""
-    deadline = boot_seconds() + _PATIENCE
+    deadline = boot_seconds() + _TIMEOUT_SECONDS
     while not condition():
         assert boot_seconds() < deadline, 'waited in vain'
         await asyncio.sleep(_POLL)
--- a/tests/failures/test_lethal_requests.py
+++ b/tests/failures/test_lethal_requests.py
@@ -12,26 +12,26 @@
 from tests.common import callers
 
 LETHAL = 'words under which engines end'
-ENOUGH = 3
+CRASHES_TO_QUARANTINE = 3
 ENGINES = 6
 SPREAD_SECONDS = 2.5
-SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 async def ask(fleet: Fleet, router: int, prompt: str) -> callers.Reply:
     return await callers.chat(fleet.routers[router % len(fleet.routers)], prompt)
 
 
-def running(fleet: Fleet) -> int:
+def count_running(fleet: Fleet) -> int:
     return sum(engine.is_running() for engine in fleet.engines)
 
 
-async def end_engines(fleet: Fleet, *, port_last: bool = False) -> None:
+async def crash_engines(fleet: Fleet, *, port_last: bool = False) -> None:
     for engine in fleet.engines:
         await callers.set_faults(engine, lethal=LETHAL, port_last=port_last)
     asked = 0
-    async with asyncio.timeout(SECONDS):
-        while running(fleet) > ENGINES - ENOUGH:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while count_running(fleet) > ENGINES - CRASHES_TO_QUARANTINE:
             await ask(fleet, asked, LETHAL)
             asked += 1
 
@@ -41,13 +41,13 @@
         path = callers.write_resources(fleet)
         fleet.hitchdeck('apply', str(path), '--wait')
         await callers.until_ready(fleet)
-        await end_engines(fleet)
+        await crash_engines(fleet)
         await asyncio.sleep(SPREAD_SECONDS)
-        left = running(fleet)
+        left = count_running(fleet)
         replies = [await ask(fleet, number, LETHAL) for number in range(6)]
         assert [callers.text_of(reply) for reply in replies] == ['quarantined'] * 6
         assert [reply.ran for reply in replies] == ['not-run'] * 6
-        assert running(fleet) == left
+        assert count_running(fleet) == left
         sound = await ask(fleet, 0, 'sound')
         assert callers.text_of(sound) == callers.expected_text('sound')
 
@@ -58,9 +58,9 @@
         path = callers.write_resources(fleet)
         fleet.hitchdeck('apply', str(path), '--wait')
         await callers.until_ready(fleet)
-        await end_engines(fleet, port_last=True)
+        await crash_engines(fleet, port_last=True)
         await asyncio.sleep(SPREAD_SECONDS)
-        left = running(fleet)
+        left = count_running(fleet)
         replies = [await ask(fleet, number, LETHAL) for number in range(6)]
         assert [callers.text_of(reply) for reply in replies] == ['quarantined'] * 6
-        assert running(fleet) == left
+        assert count_running(fleet) == left
--- a/tests/fuzz/test_scheduler_fuzz.py
+++ b/tests/fuzz/test_scheduler_fuzz.py
@@ -10,7 +10,7 @@
 from hitchdeck_router.scheduling.shard import ShardScheduler
 
 ACCOUNTS = st.sampled_from(['a', 'b', 'c'])
-LIVES = st.sampled_from(['r1', 'r2'])
+INCARNATIONS = st.sampled_from(['r1', 'r2'])
 UPSTREAMS = ('u1', 'u2')
 OVERCOMMIT = 1
 
@@ -32,14 +32,16 @@
 
     @rule(
         account=ACCOUNTS,
-        life=LIVES,
+        incarnation=INCARNATIONS,
         urgency=st.sampled_from(Urgency),
         hint=st.floats(0, 1000),
     )
-    def submit(self, account: str, life: str, urgency: Urgency, hint: float) -> None:
+    def submit(
+        self, account: str, incarnation: str, urgency: Urgency, hint: float
+    ) -> None:
         """Ask for a slot."""
         self.numbers += 1
-        key = (Incarnation(life), TicketId(self.numbers))
+        key = (Incarnation(incarnation), TicketId(self.numbers))
         ticket = WaitingTicket(
             key=key,
             account=AccountName(account),
@@ -84,12 +86,14 @@
             self.scheduler.release(keys[place], failed=failed, now=self.now)
             self.scheduler.release(keys[place], failed=failed, now=self.now)
 
-    @rule(life=LIVES)
-    def lose_router(self, life: str) -> None:
+    @rule(incarnation=INCARNATIONS)
+    def lose_router(self, incarnation: str) -> None:
         """Lose a router with all it holds."""
-        self.scheduler.drop_router(Incarnation(life), self.now)
-        self.waiting = {key for key in self.waiting if key[0] != life}
-        self.running = {key: one for key, one in self.running.items() if key[0] != life}
+        self.scheduler.drop_router(Incarnation(incarnation), self.now)
+        self.waiting = {key for key in self.waiting if key[0] != incarnation}
+        self.running = {
+            key: one for key, one in self.running.items() if key[0] != incarnation
+        }
 
     @rule(present=st.sets(st.sampled_from(UPSTREAMS)))
     def change_upstreams(self, present: set[str]) -> None:
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -105,10 +105,10 @@
 def test_all_registries_converge_after_a_bounded_number_of_records(
     events: list[Event], seed: int
 ) -> None:
-    play = EventRunner()
+    runner = EventRunner()
     for event in events:
-        play.apply(event)
-    fleet = play.fleet
+        runner.apply(event)
+    fleet = runner.fleet
     # Each event changes a record and the one that held its address; each hub may
     # suspect the holder of an address once for each incarnation that moves there.
     incarnations = len(INSTANCES) * len(BORN) * len(ADDRESSES)
