--- a/tests/failures/__init__.py
+++ b/tests/failures/__init__.py
@@ -1,1 +1,1 @@
-"""Failures of real processes."""
+"""Tests that inject failures into real processes."""
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets its own whole answer, or a true word of what ran."""
+"""Each caller gets its own complete answer, or an accurate error on what ran."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
 
 
 def client_of(fleet: Fleet, key: str = callers.KEYS['bob']) -> AsyncOpenAI:
-    """Return the official client."""
+    """Return an official OpenAI client that calls a router of the fleet."""
     url = f'http://127.0.0.1:{fleet.routers[0].port}/v1'
     return AsyncOpenAI(base_url=url, api_key=key, max_retries=0)
 
@@ -76,10 +76,10 @@
 
 
 async def _logged(log: Path, request: str) -> dict[str, object]:
-    # The line follows the answer's last byte, so the caller may be first.
+    # The line is logged after the answer's last byte, so it may be missing yet.
     async with asyncio.timeout(10):
         while True:
-            # The last piece is empty, or a line that is still being written.
+            # The last element is empty, or a line that is still being written.
             for line in log.read_text().split('\n')[:-1]:
                 fields: dict[str, object] = json.loads(line)
                 if fields.get('request') == request:
@@ -152,7 +152,7 @@
 
 
 def ask_slowly(port: int, body_bytes: int) -> bytes:
-    """Send a large body in pieces, whatever comes meanwhile; return what came."""
+    """Send a large body in parts without reading; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
     with socket.create_connection(('127.0.0.1', port), timeout=20) as connection:
@@ -166,8 +166,8 @@
 async def test_a_caller_that_is_refused_while_it_sends_gets_its_answer(
     fleet: Fleet,
 ) -> None:
-    # The router answered and closed with unread bytes of the body: the reset
-    # reached a caller that was still sending, which never read the answer.
+    # Guards against a close while bytes of the body are unread: the kernel resets
+    # the connection, and a caller that is still sending never reads the answer.
     port = fleet.routers[0].port
     answer = await asyncio.to_thread(ask_slowly, port, 40 * PIECE_BYTES)
     assert answer.startswith(b'HTTP/1.1 413')
@@ -175,7 +175,7 @@
 
 
 def ask_in_chunks(port: int, pieces: int) -> bytes:
-    """Send a large body in chunks, without its length; return what came."""
+    """Send a large body in chunks, without its length; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
     with socket.create_connection(('127.0.0.1', port), timeout=20) as connection:
@@ -187,8 +187,8 @@
 
 
 async def test_a_body_that_grows_too_large_is_answered_at_its_end(fleet: Fleet) -> None:
-    # Nothing was answered before, so the connection must not be closed however
-    # much comes.
+    # No answer has been sent before the end, so the connection must stay open
+    # however large the body grows.
     answer = await asyncio.to_thread(ask_in_chunks, fleet.routers[0].port, 400)
     assert answer.startswith(b'HTTP/1.1 413')
 
@@ -346,7 +346,7 @@
         if drained not in await handed_out():
             return
         await asyncio.sleep(0.05)
-    raise AssertionError('still handed out')
+    raise AssertionError('the address of the drained box is still returned')
 
 
 @pytest.mark.parametrize(
--- a/tests/failures/test_backpressure.py
+++ b/tests/failures/test_backpressure.py
@@ -1,7 +1,8 @@
-"""A router sends nothing to an upstream that asked it for a pause.
+"""A router sends no request to an upstream during its Retry-After.
 
-Entry boxes of the platform sent engines up to 37 requests within the 3 s that these had
-asked for in a 503.  Routers went by that answer only for the request that got it.
+Guards against a Retry-After that applies only to the request that received it.  With
+this fault, entry boxes of the platform sent engines up to 37 requests within the 3 s
+that these had asked for in a 503.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 
 def events(fleet: Fleet, member: Member, *names: str) -> int:
-    """Return how often something happened at an upstream."""
+    """Return the number of records of some events at an upstream."""
     records = read_records(fleet.folder / f'{member.name}.records')
     return sum(line['event'] in names for line in records)
 
@@ -40,7 +41,7 @@
 
 
 async def request_retry_after(fleet: Fleet, pauses: list[float]) -> None:
-    """Have each engine ask for its pause once, and serve from then on."""
+    """Make each engine reject one request with a Retry-After, then serve again."""
     await callers.until_ready(fleet)
     for engine, pause in zip(fleet.engines, pauses, strict=True):
         await callers.set_faults(engine, pause=pause)
@@ -48,7 +49,7 @@
     for engine in fleet.engines:
         assert events(fleet, engine, 'taken') == 1
         await callers.set_faults(engine)
-    # For less than this the scheduler keeps work from what has failed once.
+    # The backoff of the scheduler after one failure is shorter than this.
     await asyncio.sleep(1)
 
 
@@ -58,7 +59,7 @@
     await request_retry_after(fleet, [PAUSE, 0.1])
     paused, other = fleet.engines
     for _ in range(3):
-        # More at once than the other engine has slots.
+        # More concurrent requests than the other engine has slots.
         router = fleet.routers[0]
         asked = [callers.chat(router, f'prompt {number}') for number in range(8)]
         replies = await asyncio.gather(*asked)
--- a/tests/failures/test_flooded_box.py
+++ b/tests/failures/test_flooded_box.py
@@ -1,7 +1,8 @@
-"""An account whose requests all come to one box gets its share of the tokens.
+"""An account that sends all its requests to one box gets its share of the tokens.
 
-A flooded box spent its whole processor time on rejecting requests, and served none of
-them: its account got nothing while accounts at other boxes were served in full.
+Guards against a flooded box that spends all its processor time on rejecting requests
+and serves none: its account gets nothing while accounts at other boxes are served in
+full.
 """
 
 from pathlib import Path
--- a/tests/failures/test_lethal_requests.py
+++ b/tests/failures/test_lethal_requests.py
@@ -1,8 +1,9 @@
-"""A router keeps a request away from upstreams once three have ended under it.
+"""Routers quarantine a request once it has crashed three upstreams.
 
-Entry boxes of the platform sent one content on to ten engines, which ended one after
-the other; routers judged each repeat anew in the same way.  Before they knew of each
-other's losses all six engines ended here, and the last four repeats met none.
+Guards against routers that do not share the crashes they detect and judge each retry
+anew: all six engines of this fleet crashed, and the last four retries found none left.
+Entry boxes of the platform forwarded one request to ten engines in the same way, which
+crashed one after the other.
 """
 
 import asyncio
@@ -53,7 +54,7 @@
 
 
 async def test_crashes_are_found_where_the_port_closes_last(tmp_path: Path) -> None:
-    # Guards against probes that take a crashing engine for a live one.
+    # Guards against probes that mistake a crashing engine for a live one.
     with running_fleet(tmp_path, FleetSize(routers=3, engines=ENGINES)) as fleet:
         path = callers.write_resources(fleet)
         fleet.hitchdeck('apply', str(path), '--wait')
--- a/tests/failures/test_processes.py
+++ b/tests/failures/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes killed, frozen, cut off, robbed of their disks, restarted."""
+"""Real processes that are killed, suspended, partitioned, restarted or lose disks."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    """Return a fleet of its own for each test."""
+    """Return a separate fleet for each test."""
     size = FleetSize(routers=3, engines=2, gap=0.02, snapshot_every=60)
     with running_fleet(tmp_path, size) as running:
         path = callers.write_resources(running)
@@ -39,14 +39,14 @@
 
 
 def status_of(fleet: Fleet) -> dict[str, object]:
-    """Return the fleet's status as its operators see it."""
+    """Return the status of the fleet from the operator command."""
     content = json.loads(fleet.hitchdeck('status', '--json').stdout)
     assert isinstance(content, dict)
     return content
 
 
 def leader_of(fleet: Fleet) -> Member:
-    """Return the control box that leads."""
+    """Return the control box that is the leader."""
     name = status_of(fleet)['leader']
     return next(one for one in fleet.controls if one.name == name)
 
@@ -60,7 +60,7 @@
 
 
 class Operators:
-    """Operators who write and read one register, each in a thread."""
+    """Operators that write and read one register, each in its own thread."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -71,14 +71,14 @@
         ]
 
     def work(self, name: str) -> None:
-        """Write and read in turn."""
+        """Alternate writes and reads."""
         for number in range(1, 5):
             weight = str(100 * 'xyz'.index(name) + number)
             self.write(weight)
             self.read(name)
 
     def write(self, weight: str) -> None:
-        """Write the register; a lost answer leaves the end open."""
+        """Write the register; a write without an answer has an infinite end time."""
         started = time.monotonic()
         ended = self.fleet.hitchdeck(
             'put',
@@ -108,7 +108,7 @@
         self.versions.append((name, rows[0]['version'] if rows else 0))
 
     def check(self) -> None:
-        """Wait for all, and check what they saw."""
+        """Wait for all operators, and check the recorded history."""
         for thread in self.threads:
             thread.join()
         done = [one for one in self.history if one.ended != float('inf')]
@@ -203,7 +203,7 @@
 
 
 async def ask_until_answered(fleet: Fleet, prompt: str) -> str:
-    """Ask as a caller does who tries another address after a failure."""
+    """Send a prompt to one router after the other until one answers."""
     deadline = time.monotonic() + 60
     while time.monotonic() < deadline:
         for router in fleet.routers:
@@ -213,7 +213,7 @@
             if reply.status == 200:
                 return callers.text_of(reply)
         await asyncio.sleep(0.05)
-    raise AssertionError('nobody answers')
+    raise AssertionError('no router answered within the deadline')
 
 
 @pytest.mark.parametrize('blow', [signal.SIGKILL, signal.SIGSTOP])
@@ -290,7 +290,7 @@
 
 
 async def _address(fleet: Fleet) -> Member:
-    """Ask any router which address to use, as callers do."""
+    """Ask any router which entry address to use, as callers do."""
     for router in fleet.routers:
         reply = await callers.request(router, '/v1/addresses', method='GET')
         if reply.status != 200:
@@ -298,7 +298,7 @@
         first = json.loads(reply.body)['addresses'][0]
         port = int(first.rpartition(':')[2])
         return next(one for one in fleet.routers if one.port == port)
-    raise AssertionError('no router answers')
+    raise AssertionError('no router returned an entry address')
 
 
 async def test_newest_configuration_is_in_force_after_everything_restarts(
--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Stateful fuzzing against simple oracles."""
+"""Stateful fuzz tests against simple models."""
--- a/tests/fuzz/test_foreign_entries_fuzz.py
+++ b/tests/fuzz/test_foreign_entries_fuzz.py
@@ -1,8 +1,8 @@
-"""What another writer sends in an upstream's name names no upstream to use.
+"""Malformed upstream records from other writers are rejected.
 
-Fields are missing or of another type, huge or nested, or nothing can be read at all.
-The sender is told which field, the log line stays short, and whoever was known before
-is known as before.
+Fields are missing, of a wrong type, huge or nested, or the record cannot be parsed at
+all.  The error names the field, the log line stays short, and the records of known
+upstreams do not change.
 """
 
 import contextlib
@@ -50,7 +50,7 @@
 
 
 def reason_of(body: Any) -> str:
-    """Return why an entry is refused, blank if it is taken."""
+    """Return why an entry is rejected, or an empty string if it is accepted."""
     try:
         decode_upstream('e0', body)
     except DECODE_ERRORS as error:
--- a/tests/fuzz/test_lease_fuzz.py
+++ b/tests/fuzz/test_lease_fuzz.py
@@ -1,4 +1,4 @@
-"""Leases with freezes and lost messages: no router trusts longer than its leader."""
+"""Leases under suspensions and lost messages: none outlives the leader's record."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -11,7 +11,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """One leader, one router, a wire that delays, loses and reorders."""
+    """One leader and one router; messages are delayed, lost and reordered."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
 
     @rule(place=st.integers(0, 3), keep=st.booleans())
     def leader_hears(self, place: int, keep: bool) -> None:
-        """The leader takes up one of the beats under way, perhaps twice."""
+        """The leader receives one of the beats in flight, possibly twice."""
         if place < len(self.beats):
             number = self.beats[place] if keep else self.beats.pop(place)
             self.routers.grant_lease(self.presence)
@@ -37,7 +37,7 @@
 
     @rule(place=st.integers(0, 3), lost=st.booleans())
     def router_hears(self, place: int, lost: bool) -> None:
-        """A grant arrives, or never does."""
+        """A grant arrives or is lost."""
         if place < len(self.grants):
             number = self.grants.pop(place)
             if not lost:
@@ -45,12 +45,12 @@
 
     @rule(seconds=st.floats(0, 5))
     def time_passes(self, seconds: float) -> None:
-        """Both sides may be frozen meanwhile; the clock goes on."""
+        """Advance the clock; either side may be suspended meanwhile."""
         self.now += seconds
 
     @invariant()
     def router_never_outlives_what_the_leader_believes(self) -> None:
-        """A live lease at the router is live at the leader."""
+        """A lease that is live at the router is live at the leader."""
         if self.lease.is_live():
             assert self.presence.lease_until > self.now
             assert self.routers.laggards(1) == ['r']
--- a/tests/fuzz/test_machine_fuzz.py
+++ b/tests/fuzz/test_machine_fuzz.py
@@ -1,6 +1,6 @@
-"""Commands, versions and the ledger against plain dictionaries.
+"""Commands, versions and claims of the state machine against plain dictionaries.
 
-Snapshots and reloads happen at any point and must change nothing.
+Snapshots and reloads happen at any point and must not change the state.
 """
 
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 class CommandMachine(RuleBasedStateMachine):
-    """Racing operators, resends, callers with keys, and restarts."""
+    """Concurrent operators, resent commands, idempotency keys and restarts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,19 +56,19 @@
 
     @rule()
     def reload(self) -> None:
-        """Go through a snapshot."""
+        """Reload the machine from a snapshot of itself."""
         encoded = self.machine.dump()
         self.machine = StateMachine(RETENTION)
         self.machine.load(encoded)
 
     @rule(seconds=st.floats(0, 40))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
 
     @rule(request=st.sampled_from(['r1', 'r2', 'r3']))
     def claim_key(self, request: str) -> None:
-        """Ask to run the one request of this key."""
+        """Claim the key for a request."""
         outcome = submit(self.machine, claim(request=request), taken_at=self.now)
         if self.now >= 1000 + RETENTION:
             assert isinstance(outcome, Refused)
@@ -87,7 +87,7 @@
         ran=st.sampled_from(['ran', 'not-run', 'unknown']),
     )
     def settle_key(self, request: str, ran: str) -> None:
-        """Say how a run ended."""
+        """Settle the claim with the outcome of the run."""
         submit(self.machine, settle(ran, request), taken_at=self.now)
         if request != self.holder or self.settled:
             return
@@ -99,12 +99,12 @@
 
     @invariant()
     def at_most_one_run_is_granted(self) -> None:
-        """Whoever was granted and did not give back is alone."""
+        """At most one request holds the claim of the key."""
         assert len(self.granted) <= 1
 
     @invariant()
     def configuration_is_that_of_the_model(self) -> None:
-        """Resources and their versions agree."""
+        """Resources and their versions agree with the model."""
         kept = self.machine.state.resources
         assert {key: one.version for key, one in kept.items()} == {
             f'account/{name}': version for name, version in self.versions.items()
--- a/tests/fuzz/test_scheduler_fuzz.py
+++ b/tests/fuzz/test_scheduler_fuzz.py
@@ -1,4 +1,4 @@
-"""The scheduler against simple invariants, with routers and upstreams lost."""
+"""The scheduler against simple invariants under loss of routers and upstreams."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -16,7 +16,7 @@
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Tickets, grants, reports, releases, losses."""
+    """Tickets, grants, cost reports, releases, and loss of routers and upstreams."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
     def submit(
         self, account: str, incarnation: str, urgency: Urgency, hint: float
     ) -> None:
-        """Ask for a slot."""
+        """Submit a ticket for a slot."""
         self.numbers += 1
         key = (Incarnation(incarnation), TicketId(self.numbers))
         ticket = WaitingTicket(
@@ -55,19 +55,19 @@
 
     @rule(seconds=st.floats(0.01, 30))
     def grant(self, seconds: float) -> None:
-        """Let time pass and grant."""
+        """Advance the clock and grant tickets."""
         self.now += seconds
         self.scheduler.capacity.refresh_all(self.now)
         for placed in self.scheduler.grants(self.now):
             key = placed.ticket.key
-            assert key in self.waiting, 'granted twice or never asked for'
-            assert placed.upstream in self.slots, 'granted a leaving upstream'
+            assert key in self.waiting, 'granted twice or never submitted'
+            assert placed.upstream in self.slots, 'granted a draining upstream'
             self.waiting.remove(key)
             self.running[key] = (placed.ticket.account, 0.0)
 
     @rule(place=st.integers(0, 5), cost=st.floats(0, 500))
     def report(self, place: int, cost: float) -> None:
-        """Report cost, which may only grow."""
+        """Report the cost of a running request, which never decreases."""
         keys = sorted(self.running)
         if place >= len(keys):
             return
@@ -79,7 +79,7 @@
 
     @rule(place=st.integers(0, 5), failed=st.booleans())
     def release(self, place: int, failed: bool) -> None:
-        """Give a slot back, twice."""
+        """Release a slot twice."""
         keys = sorted(self.running)
         if place < len(keys):
             self.running.pop(keys[place])
@@ -88,7 +88,7 @@
 
     @rule(incarnation=INCARNATIONS)
     def lose_router(self, incarnation: str) -> None:
-        """Lose a router with all it holds."""
+        """Drop a router with its tickets and slots."""
         self.scheduler.drop_router(Incarnation(incarnation), self.now)
         self.waiting = {key for key in self.waiting if key[0] != incarnation}
         self.running = {
@@ -103,7 +103,7 @@
 
     @invariant()
     def books_balance(self) -> None:
-        """Waiting, running and spent agree with the model."""
+        """Pending tickets, running requests and charged costs agree with the model."""
         assert set(self.scheduler.tickets) == self.waiting
         assert set(self.scheduler.held) == set(self.running)
         for account, spent in self.spent.items():
@@ -113,7 +113,7 @@
 
     @invariant()
     def no_upstream_is_over_its_slots(self) -> None:
-        """Urgent work alone may go beyond, by the overcommit."""
+        """Only urgent requests may exceed the slots, by at most the overcommit."""
         for name, most in self.slots.items():
             load = self.scheduler.capacity.loads[name]
             assert len(load.held) <= most + OVERCOMMIT
--- a/tests/fuzz/test_selector_fuzz.py
+++ b/tests/fuzz/test_selector_fuzz.py
@@ -1,4 +1,4 @@
-"""Selectors against a direct reading of their meaning."""
+"""Selectors against a direct evaluation of their requirements."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -1,7 +1,7 @@
-"""Registries that exchange records of upstreams settle, whatever the order.
+"""Registries that exchange records of upstreams converge in any order of messages.
 
-Two hubs that differed in nothing but a suspicion used to send each other the record for
-ever: whichever value came last won, at an unchanged sequence.
+Guards against two hubs that differ only in a suspicion and send each other the record
+forever, because the last value received wins at an unchanged sequence number.
 """
 
 from functools import partial
@@ -56,7 +56,7 @@
 
 
 class EventRunner:
-    """Applies drawn events to a fleet."""
+    """Applies generated events to a fleet."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -109,7 +109,7 @@
     for event in events:
         runner.apply(event)
     fleet = runner.fleet
-    # Each event changes a record and the one that held its address; each hub may
+    # Each event changes a record and the previous holder of its address; each hub may
     # suspect the holder of an address once for each incarnation that moves there.
     incarnations = len(INSTANCES) * len(BORN) * len(ADDRESSES)
     changes = 2 * len(events) + HUBS * incarnations
@@ -124,7 +124,7 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     fleet.registries[0].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
-    # Another hub hears of the upstream while the suspicion is on its way.
+    # Another hub hears from the upstream while the suspicion is in flight.
     fleet.registries[1].hear(UpstreamName('e0'))
     rounds = 0
     while fleet.exchange():
@@ -142,7 +142,7 @@
     fleet = fleet_of()
     fleet.hubs[reporter].report(report('e0', 1))
     assert fleet.settle(Random(0), 2 * len(fleet.links))
-    # Unchanged reports are not passed on: the others still know the first one.
+    # Unchanged reports are not propagated: the other hubs keep the first one.
     fleet.hubs[reporter].report(report('e0', 2))
     fleet.registries[suspecting].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
--- a/tests/fuzz/test_storage_fuzz.py
+++ b/tests/fuzz/test_storage_fuzz.py
@@ -1,6 +1,6 @@
 """The log and its storage against a list, with crashes at any write.
 
-A crash keeps everything synced, and of what was written since, any prefix.
+A crash keeps all synced data and any prefix of the data written since the last sync.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Appends, overwrites, votes, snapshots, flushes, and crashes."""
+    """Appends, overwrites, votes, snapshots, flushes and crashes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
 
     @rule(count=st.integers(1, 4), back=st.integers(0, 3))
     def append(self, count: int, back: int) -> None:
-        """Append entries, some in the place of earlier ones."""
+        """Append entries, some of which replace earlier ones."""
         base = int(self.log.snapshot.last_index)
         start = max(base + 1, self.log.last_index + 1 - back)
         if back:
@@ -55,7 +55,7 @@
 
     @rule()
     def flush(self) -> None:
-        """Make promises."""
+        """Flush the log, so that its entries are durable."""
         self.runner.run(self.log.flush())
         self.promised = dict(self.model)
         self.promised_vote = self.vote
@@ -75,7 +75,7 @@
 
     @rule(seed=st.integers(0, 1_000_000))
     def crash(self, seed: int) -> None:
-        """Lose what was not synced, but for any prefix of it."""
+        """Drop unsynced data except for a random prefix."""
         segment = sorted(self.folder.glob('wal-*.log'))[-1]
         synced = segment.stat().st_size
         unsynced = b''.join(_framed(self.log))
@@ -96,13 +96,13 @@
 
     @invariant()
     def memory_agrees_with_the_model(self) -> None:
-        """The log in memory is the list."""
+        """The log in memory equals the list."""
         for index in range(self._base() + 1, self.log.last_index + 1):
             assert self.log.term_at(index) == self.model[index]
         assert self.log.synced_index <= self.log.last_index
 
     def teardown(self) -> None:
-        """Remove the folder."""
+        """Remove the temporary folder."""
         self.log.close()
         self.runner.close()
         shutil.rmtree(self.folder)
@@ -113,7 +113,7 @@
     def _check_recovered(self) -> None:
         for index, term in self.promised.items():
             if index > self._base() and self.log.term_at(index) != term:
-                # Only an overwrite that had begun may take its place.
+                # Only an overwrite that was in progress may replace the entry.
                 assert self.model.get(index) == self.log.term_at(index)
         assert self.log.term >= self.promised_vote[0]
 
