--- a/tests/common/__init__.py
+++ b/tests/common/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that tests share."""
+"""Shared test helpers."""
--- a/tests/common/callers.py
+++ b/tests/common/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a real fleet."""
+"""Client requests to a fleet of real processes."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     ran: str
@@ -30,7 +30,7 @@
 
 
 def write_resources(fleet: Fleet) -> Path:
-    """Write the resources that the tests use."""
+    """Write the resource file that the tests apply; return its path."""
     lines = []
     for name, key in KEYS.items():
         lines += ['[[account]]', f'name = "{name}"']
@@ -62,7 +62,7 @@
     key: str = KEYS['ann'],
     **headers: str,
 ) -> Reply:
-    """Send one request; headers with underscores for dashes.
+    """Send one request; header names are given with underscores for dashes.
 
     A connection that is refused or breaks gives status 0.
     """
@@ -84,7 +84,7 @@
 
 
 async def chat(router: Member, prompt: str, tokens: int = 8, **options: str) -> Reply:
-    """Ask for a whole answer."""
+    """Request a chat completion without streaming."""
     body = {
         'model': 'm',
         'max_tokens': tokens,
@@ -94,7 +94,7 @@
 
 
 async def confirm(router: Member, key: str, shift: int = 1) -> Reply:
-    """Send a call that must not run twice."""
+    """Send a call that must not run twice, with an idempotency key."""
     return await request(
         router,
         '/v1/services/plain/confirm',
@@ -104,17 +104,17 @@
 
 
 def fresh_key(name: str) -> str:
-    """Return an idempotency key made now."""
+    """Return an idempotency key issued now."""
     return f'{int(time.time())}-{name}'
 
 
 def expected_text(prompt: str, tokens: int = 8) -> str:
-    """Return the engine's whole answer to a prompt."""
+    """Return the complete answer of an engine to a prompt."""
     return ''.join(expected_tokens(prompt, tokens))
 
 
 def text_of(reply: Reply) -> str:
-    """Return the text of a whole answer, or the error's code."""
+    """Return the text of a complete answer, or the error code."""
     content = json.loads(reply.body)
     if 'error' in content:
         return str(content['error']['code'])
@@ -122,7 +122,7 @@
 
 
 def runs_of(fleet: Fleet) -> list[str]:
-    """Return the keys that plain services truly ran."""
+    """Return the idempotency keys that plain services ran, once for each run."""
     return [
         str(line['body'].get('key'))
         for service in fleet.services
@@ -132,13 +132,13 @@
 
 
 def begun_at(fleet: Fleet, engine: Member) -> list[float]:
-    """Return when an engine took new work, in monotonic seconds."""
+    """Return the times in monotonic seconds at which an engine accepted requests."""
     records = read_records(fleet.folder / f'{engine.name}.records')
     return [float(line['at']) for line in records if line['event'] == 'taken']
 
 
 async def set_faults(engine: Member, **faults: object) -> None:
-    """Set an engine's faults, in place of those it has."""
+    """Replace the injected faults of an engine."""
     await AsyncHTTPClient().fetch(
         HTTPRequest(
             f'http://127.0.0.1:{engine.port}/faults',
@@ -149,11 +149,11 @@
 
 
 async def until_ready(fleet: Fleet) -> None:
-    """Wait until every running router admits."""
+    """Wait until every running router admits requests."""
     deadline = time.monotonic() + _SECONDS
     for router in fleet.routers:
         while router.is_running():
-            assert time.monotonic() < deadline, f'{router.name} does not admit'
+            assert time.monotonic() < deadline, f'{router.name} does not admit requests'
             if (await request(router, '/healthz', method='GET')).status == 200:
                 break
             await asyncio.sleep(0.05)
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -1,4 +1,4 @@
-"""A control group in one process: real replicas, fake links that can be cut."""
+"""A Raft group in one process: real replicas on fake links that can be cut."""
 
 import asyncio
 from collections.abc import Callable
@@ -42,14 +42,14 @@
 
 
 class FakeLinks:
-    """Calls between replicas of one process, unless the link is cut."""
+    """Calls between replicas of one process; a call on a cut link fails."""
 
     def __init__(self, group: 'Group', source: str) -> None:
         self.group = group
         self.source = source
 
     async def vote(self, address: Address, request: VoteRequest) -> VoteReply:
-        """Ask for a vote."""
+        """Request a vote."""
         return await handle_vote(self._target(address).replica, request)
 
     async def append(self, address: Address, request: AppendRequest) -> AppendReply:
@@ -88,7 +88,7 @@
 
 @dataclass
 class Group:
-    """A group; names in ``cut`` are cut off from all others."""
+    """A group; replicas named in ``cut`` are partitioned from all others."""
 
     folder: Path
     now: Callable[[], float] = boot_seconds
@@ -96,7 +96,7 @@
     cut: set[str] = field(default_factory=set)
 
     def start(self, name: str, folder: str = '') -> Node:
-        """Start a replica on a folder, its own by default."""
+        """Start a replica on a folder, by default the one of its name."""
         path = self.folder / (folder or name)
         box = BoxName(name)
         machine = StateMachine(1000)
@@ -120,19 +120,19 @@
         return node
 
     async def stop(self, name: str) -> None:
-        """Stop a replica; its folder stays."""
+        """Stop a replica and keep its folder."""
         node = self.nodes.pop(name)
         await node.tasks.stop()
         node.replica.log.close()
 
     async def found(self) -> None:
-        """Make all running replicas a group."""
+        """Found a group of all running replicas."""
         members = [self.member(name, voter=True) for name in self.nodes]
         for node in self.nodes.values():
             await membership.found_group(node.replica, members)
 
     def member(self, name: str, *, voter: bool = False) -> Member:
-        """Return a running replica as a member."""
+        """Return the membership record of a running replica."""
         me = self.nodes[name].replica.identity
         return Member(
             replica=me.replica,
@@ -142,7 +142,7 @@
         )
 
     async def leader(self) -> Node:
-        """Wait for a leader with a lease, among those not cut off."""
+        """Wait for a leader with a lease among the replicas that are not cut off."""
 
         def leading() -> list[Node]:
             return [
@@ -155,7 +155,7 @@
         return leading()[0]
 
     async def put(self, name: str, operator: str = '', number: int = 0) -> Outcome:
-        """Commit an account through whoever leads, trying until it works."""
+        """Commit an account through the current leader; retry until it succeeds."""
         command = Put(resource=Account(name=name))
         submission = Submission(
             command=command,
@@ -173,14 +173,14 @@
                 await asyncio.sleep(_POLL)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all replicas."""
         for name in list(self.nodes):
             await self.stop(name)
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until something holds; fail if it does not for very long."""
+    """Wait until a condition holds; fail after a timeout."""
     deadline = boot_seconds() + _TIMEOUT_SECONDS
     while not condition():
-        assert boot_seconds() < deadline, 'waited in vain'
+        assert boot_seconds() < deadline, 'timed out while waiting for the condition'
         await asyncio.sleep(_POLL)
--- a/tests/common/history.py
+++ b/tests/common/history.py
@@ -1,4 +1,4 @@
-"""Checks of recorded histories; each returns what is wrong, in words."""
+"""Checks of recorded histories; each returns descriptions of the violations."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
@@ -7,7 +7,7 @@
 
 
 class Kind(Enum):
-    """What an operation on the register did."""
+    """The kind of an operation on a register."""
 
     write = 'write'
     read = 'read'
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """An operation on one register, from its call to its return.
+    """An operation on one register, from invocation to response.
 
-    ``ended`` is infinite for an operation whose answer was lost: it may take
+    ``ended`` is infinite for an operation whose response was lost: it may take
     effect at any time after its start, or never.
     """
 
@@ -28,11 +28,11 @@
 
 
 def check_linearizable(history: Sequence[Operation], initial: str) -> list[str]:
-    """Check that a history is one of an atomic register.
+    """Check that a history is linearizable for an atomic register.
 
-    The search of Wing and Gong ("Testing and Verifying Concurrent Objects",
-    1993) with a memo of states seen: pick any operation that started before
-    every pending one ended, apply it, go on.
+    Uses the search of Wing and Gong ("Testing and Verifying Concurrent Objects",
+    1993) with a memo of visited states: each step picks an operation that started
+    before any pending one ended, and applies it.
     """
     must = frozenset(
         index for index, one in enumerate(history) if one.ended != float('inf')
@@ -69,7 +69,7 @@
 
 
 def check_never_reverts(versions: Iterable[tuple[str, int]]) -> list[str]:
-    """Check that the version each observer sees never goes back."""
+    """Check that the version that each observer reads never decreases."""
     latest: dict[str, int] = defaultdict(int)
     wrong = []
     for observer, version in versions:
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a caller was told of one request under a key."""
+    """The answer to one request under an idempotency key."""
 
     key: str
     ran: str
@@ -89,7 +89,7 @@
 
 
 def check_at_most_once(answers: Iterable[Answer], runs: Iterable[str]) -> list[str]:
-    """Check answers against the keys that truly ran, once for each run."""
+    """Check answers against the keys that ran, listed once for each run."""
     counts = Counter(runs)
     wrong = [f'{key} ran {count} times' for key, count in counts.items() if count > 1]
     told: dict[str, set[str]] = defaultdict(set)
@@ -100,18 +100,18 @@
             bodies[answer.key].add(answer.body)
     for key, words in told.items():
         if words == {'not-run'} and counts[key]:
-            wrong.append(f'{key} was said not to have run, and ran')
+            wrong.append(f'{key} ran although it was answered as not run')
         if 'ran' in words and not counts[key]:
-            wrong.append(f'{key} was said to have run, and did not')
+            wrong.append(f'{key} did not run although it was answered as run')
         if len(bodies[key]) > 1:
             wrong.append(f'{key} got different answers')
     return wrong
 
 
 def check_own_answers(pairs: Iterable[tuple[str, str]]) -> list[str]:
-    """Check that each answer is whole and the caller's own."""
+    """Check that each answer is complete and belongs to its caller."""
     return [
-        f'got {answered[:60]!r} in place of {expected[:60]!r}'
+        f'got {answered[:60]!r} instead of {expected[:60]!r}'
         for expected, answered in pairs
         if expected != answered
     ]
@@ -122,9 +122,9 @@
     left_at: float,
     allowed: float,
 ) -> list[str]:
-    """Check that an upstream began nothing some seconds after it left."""
+    """Check that an upstream starts no request some seconds after its drain."""
     late = [at - left_at for at in begun if at > left_at + allowed]
-    return [f'work began {seconds:.2f} s after leaving' for seconds in late]
+    return [f'work started {seconds:.2f} s after the drain' for seconds in late]
 
 
 def check_sessions_kept(
@@ -132,6 +132,6 @@
     deleted: Iterable[str],
     present: Iterable[str],
 ) -> list[str]:
-    """Check that every session is there until it is deleted."""
+    """Check that every session exists until it is deleted."""
     missing = set(created) - set(deleted) - set(present)
     return [f'session {name} is gone' for name in sorted(missing)]
--- a/tests/common/scheduling.py
+++ b/tests/common/scheduling.py
@@ -1,4 +1,4 @@
-"""A scheduler with engines that exist on paper only, and a clock set by hand."""
+"""A scheduler with simulated engines and a clock that the test sets."""
 
 import json
 import zlib
@@ -29,7 +29,7 @@
 
 
 class FakeClock:
-    """A clock that is set by hand."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.seconds = 1000.0
@@ -39,7 +39,7 @@
 
 
 class SimulatedEngine:
-    """An engine that reads one prompt after the other at a pace."""
+    """An engine that reads prompts in sequence at a fixed rate."""
 
     def __init__(self, clock: FakeClock, pace: int) -> None:
         self.clock = clock
@@ -48,20 +48,20 @@
         self.reading: deque[tuple[float, int]] = deque()
 
     def read(self, number: int, tokens: int) -> None:
-        """Put a prompt behind those that wait."""
+        """Append a prompt to the queue."""
         self.free_at = max(self.free_at, self.clock.seconds) + tokens / self.pace
         self.reading.append((self.free_at, number))
 
     def finished(self) -> Iterator[int]:
-        """Yield the numbers of the prompts that have been read by now."""
+        """Yield the numbers of the prompts that are read by the current time."""
         while self.reading and self.reading[0][0] <= self.clock.seconds:
             yield self.reading.popleft()[1]
 
 
 def arriving(asks: dict[str, int], clock: FakeClock, seconds: int) -> Iterator[str]:
-    """Move the clock on, and yield the account of each request that comes.
+    """Advance the clock, and yield the account of each request that arrives.
 
-    ``asks`` tells how many requests each account makes a second.
+    ``asks`` gives the requests per second of each account.
     """
     due: Counter[str] = Counter()
     for _ in range(seconds * 100):
@@ -101,7 +101,7 @@
 
 
 def offer(scheduler: Scheduler, tokens_per_second: int, **pool: float) -> None:
-    """Put a document in force that states the engines' capacity, and their pool."""
+    """Apply a document that states the capacity of the engines, and their pool."""
     engines = {'name': POOL, 'engine': {'slots': 8, 'kvCapacity': 100_000}, **pool}
     given = document(1, limits={'tokensPerS': tokens_per_second})
     given['services'] = [engines, {'name': 'app'}]
@@ -127,10 +127,11 @@
     seconds: int,
     stated: int = 0,
 ) -> Counter[str]:
-    """Return the tokens granted by account on one engine that reads at a pace.
+    """Return the tokens granted to each account on one simulated engine.
 
-    ``asks`` tells how many requests of 1000 tokens each account makes a second,
-    ``stated`` what the engine is stated to read in one, where not its pace.
+    ``asks`` gives the requests of 1000 tokens that each account sends per second,
+    ``pace`` the tokens per second that the engine reads, and ``stated`` its stated
+    capacity in tokens per second (0: equal to ``pace``).
     """
     clock = FakeClock()
     reader = SimulatedEngine(clock, pace)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Profiles of Hypothesis: the same examples each time, unless asked for more."""
+"""Hypothesis profiles: ``ci`` repeats the same examples, ``long`` draws more."""
 
 import os
 
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak of the real programs, short and with a fixed seed."""
+"""Short soak tests of the real programs, with fixed seeds."""
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -1,4 +1,4 @@
-"""A soak leaves no process behind, whatever happens to it."""
+"""A soak stops all processes that it started, also after a failure."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 class FakeProcess:
-    """A process that exists on paper only, and runs until it is killed."""
+    """A simulated process that runs until it is killed."""
 
     started: list['FakeProcess']
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def started(monkeypatch: pytest.MonkeyPatch) -> list[FakeProcess]:
-    """Return the processes that are started, in their order."""
+    """Return the list of started processes, in the order of their start."""
     monkeypatch.setattr(FakeProcess, 'started', [], raising=False)
     monkeypatch.setattr(fleet.subprocess, 'Popen', FakeProcess)
     return FakeProcess.started
@@ -45,8 +45,8 @@
     started: list[FakeProcess],
     tmp_path: Path,
 ) -> None:
-    # Two faults that hit one box each start it again; the first process was
-    # forgotten, and kept its addresses for good.
+    # Two faults on one box each restart it.  Guards against losing track of the
+    # first process, which then keeps its addresses for good.
     running = Fleet(tmp_path, 250)
     program = running.add(0, role)
     program.start()
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The soak's proxy does to connections what it is told."""
+"""The proxy of the soak injects the requested faults into connections."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 
 @asynccontextmanager
 async def running_proxy() -> AsyncIterator[Proxy]:
-    """Run a proxy before a server that sends each line back."""
+    """Run a proxy in front of a server that echoes each line."""
     server = await asyncio.start_server(echo, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     proxy = Proxy(f'127.0.0.1:{port}')
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak finds nothing on its fixed seeds, and would find what is broken."""
+"""The soak finds no violation on its fixed seeds, and detects each kind of one."""
 
 import asyncio
 from collections import Counter
