--- a/tests/common/callers.py
+++ b/tests/common/callers.py
@@ -16,7 +16,7 @@
 
 KEYS = {'ann': 'key-of-ann', 'bob': 'key-of-bob'}
 
-_SECONDS = 40.0
+_TIMEOUT_SECONDS = 40.0
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
             'Authorization': f'Bearer {key}',
             **{name.replace('_', '-'): text for name, text in headers.items()},
         },
-        request_timeout=_SECONDS,
+        request_timeout=_TIMEOUT_SECONDS,
     )
     client = AsyncHTTPClient(force_instance=True, max_clients=200)
     try:
@@ -150,7 +150,7 @@
 
 async def until_ready(fleet: Fleet) -> None:
     """Wait until every running router admits requests."""
-    deadline = time.monotonic() + _SECONDS
+    deadline = time.monotonic() + _TIMEOUT_SECONDS
     for router in fleet.routers:
         while router.is_running():
             assert time.monotonic() < deadline, f'{router.name} does not admit requests'
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -38,7 +38,7 @@
 TIMING = Timing(heartbeat=0.02, election_timeout=0.15, snapshot_every=50)
 
 _TIMEOUT_SECONDS = 15.0
-_POLL = 0.01
+_POLL_SECONDS = 0.01
 
 
 class FakeLinks:
@@ -170,7 +170,7 @@
                 async with asyncio.timeout(1):
                     return await node.replica.propose(encoded)
             except (NotLeaderError, OutcomeUnknownError, TimeoutError):
-                await asyncio.sleep(_POLL)
+                await asyncio.sleep(_POLL_SECONDS)
 
     async def close(self) -> None:
         """Stop all replicas."""
@@ -183,4 +183,4 @@
     deadline = boot_seconds() + _TIMEOUT_SECONDS
     while not condition():
         assert boot_seconds() < deadline, 'timed out while waiting for the condition'
-        await asyncio.sleep(_POLL)
+        await asyncio.sleep(_POLL_SECONDS)
--- a/tests/common/history.py
+++ b/tests/common/history.py
@@ -92,13 +92,13 @@
     """Check answers against the keys that ran, listed once for each run."""
     counts = Counter(runs)
     wrong = [f'{key} ran {count} times' for key, count in counts.items() if count > 1]
-    told: dict[str, set[str]] = defaultdict(set)
+    reported: dict[str, set[str]] = defaultdict(set)
     bodies: dict[str, set[str]] = defaultdict(set)
     for answer in answers:
-        told[answer.key].add(answer.ran)
+        reported[answer.key].add(answer.ran)
         if answer.ran == 'ran':
             bodies[answer.key].add(answer.body)
-    for key, words in told.items():
+    for key, words in reported.items():
         if words == {'not-run'} and counts[key]:
             wrong.append(f'{key} ran although it was answered as not run')
         if 'ran' in words and not counts[key]:
--- a/tests/cover/test_scheduling.py
+++ b/tests/cover/test_scheduling.py
@@ -18,12 +18,12 @@
     ShardScheduler,
 )
 
-LIFE = Incarnation('life')
+INCARNATION = Incarnation('life')
 COST = 100.0
 
 
 @dataclass
-class Bench:
+class SchedulerHarness:
     """A scheduler with one engine, and methods that run requests through it."""
 
     slots: int = 4
@@ -54,7 +54,7 @@
         self.numbers += 1
         return self.scheduler.submit(
             WaitingTicket(
-                key=(LIFE, TicketId(self.numbers)),
+                key=(INCARNATION, TicketId(self.numbers)),
                 account=AccountName(account),
                 urgency=urgency,
                 deadline=deadline,
@@ -84,10 +84,10 @@
 
 
 def test_slots_are_never_overcommitted() -> None:
-    bench = Bench(slots=3)
-    bench.keep_backlogged('a')
-    assert len(bench.grant()) == 3
-    assert not bench.grant()
+    harness = SchedulerHarness(slots=3)
+    harness.keep_backlogged('a')
+    assert len(harness.grant()) == 3
+    assert not harness.grant()
 
 
 @pytest.mark.parametrize(
@@ -95,133 +95,133 @@
     [({}, 1.0), ({'a': 2.0}, 2.0), ({'a': 1.0, 'b': 4.0}, 0.25)],
 )
 def test_service_follows_the_weights(weights: dict[str, float], share: float) -> None:
-    bench = Bench(weights=weights)
+    harness = SchedulerHarness(weights=weights)
     for _ in range(300):
-        bench.keep_backlogged('a', 'b')
-        bench.grant()
-        bench.finish_all()
-    gap = abs(bench.served['a'] - share * bench.served['b'])
-    assert gap <= bench.scheduler.gap_bound() * max(1, share)
+        harness.keep_backlogged('a', 'b')
+        harness.grant()
+        harness.finish_all()
+    gap = abs(harness.served['a'] - share * harness.served['b'])
+    assert gap <= harness.scheduler.gap_bound() * max(1, share)
     assert gap <= 8 * COST
 
 
 def test_wrong_cost_hints_gain_nothing() -> None:
-    bench = Bench()
+    harness = SchedulerHarness()
     for _ in range(300):
         for _ in range(5):
-            bench.submit('liar', hint=1)
-            bench.submit('honest', hint=COST)
-        bench.grant()
-        bench.finish_all()
-    assert abs(bench.served['liar'] - bench.served['honest']) <= 8 * COST
+            harness.submit('liar', hint=1)
+            harness.submit('honest', hint=COST)
+        harness.grant()
+        harness.finish_all()
+    assert abs(harness.served['liar'] - harness.served['honest']) <= 8 * COST
 
 
 def test_idle_time_earns_no_credit() -> None:
-    bench = Bench()
+    harness = SchedulerHarness()
     for _ in range(200):
-        bench.keep_backlogged('busy')
-        bench.grant()
-        bench.finish_all()
-    bench.served.clear()
+        harness.keep_backlogged('busy')
+        harness.grant()
+        harness.finish_all()
+    harness.served.clear()
     for _ in range(100):
-        bench.keep_backlogged('busy', 'late')
-        bench.grant()
-        bench.finish_all()
-    assert abs(bench.served['busy'] - bench.served['late']) <= 8 * COST
+        harness.keep_backlogged('busy', 'late')
+        harness.grant()
+        harness.finish_all()
+    assert abs(harness.served['busy'] - harness.served['late']) <= 8 * COST
 
 
 def test_debt_from_elsewhere_is_capped() -> None:
-    bench = Bench()
-    bench.scheduler.fair.activate(AccountName('debtor'), 1, [])
-    bench.scheduler.fair.add_service(AccountName('debtor'), 1e9)
+    harness = SchedulerHarness()
+    harness.scheduler.fair.activate(AccountName('debtor'), 1, [])
+    harness.scheduler.fair.add_service(AccountName('debtor'), 1e9)
     served = []
     for _ in range(200):
-        bench.keep_backlogged('other', 'debtor')
-        served += bench.grant()
-        bench.finish_all()
+        harness.keep_backlogged('other', 'debtor')
+        served += harness.grant()
+        harness.finish_all()
     assert 'debtor' in served
 
 
 def test_nobody_waits_for_ever_whatever_its_debt() -> None:
-    bench = Bench()
+    harness = SchedulerHarness()
     served = []
     for _ in range(100):
-        bench.keep_backlogged('other', 'debtor')
-        bench.scheduler.fair.add_service(AccountName('debtor'), 1e6)
-        served += bench.grant()
-        bench.finish_all()
-        bench.now += STARVATION_SECONDS / 4
+        harness.keep_backlogged('other', 'debtor')
+        harness.scheduler.fair.add_service(AccountName('debtor'), 1e6)
+        served += harness.grant()
+        harness.finish_all()
+        harness.now += STARVATION_SECONDS / 4
     assert 'debtor' in served
 
 
 def test_urgent_goes_first_within_its_credit_only() -> None:
-    bench = Bench(slots=1)
-    bench.submit('a')
-    bench.submit('b', Urgency.urgent)
-    assert bench.grant() == ['b']
-    bench.finish_all()
-    bench.scheduler.fair.add_service(AccountName('b'), 2 * URGENT_CREDIT)
-    bench.submit('b', Urgency.urgent)
-    assert bench.grant() == ['a']
+    harness = SchedulerHarness(slots=1)
+    harness.submit('a')
+    harness.submit('b', Urgency.urgent)
+    assert harness.grant() == ['b']
+    harness.finish_all()
+    harness.scheduler.fair.add_service(AccountName('b'), 2 * URGENT_CREDIT)
+    harness.submit('b', Urgency.urgent)
+    assert harness.grant() == ['a']
 
 
 def test_urgent_may_exceed_slots_by_the_overcommit() -> None:
-    bench = Bench(slots=2, overcommit=1)
-    bench.keep_backlogged('a')
-    assert len(bench.grant()) == 2
-    bench.submit('b', Urgency.urgent)
-    bench.submit('b', Urgency.urgent)
-    assert bench.grant() == ['b']
+    harness = SchedulerHarness(slots=2, overcommit=1)
+    harness.keep_backlogged('a')
+    assert len(harness.grant()) == 2
+    harness.submit('b', Urgency.urgent)
+    harness.submit('b', Urgency.urgent)
+    assert harness.grant() == ['b']
 
 
 def test_draft_becomes_urgent_as_its_deadline_nears() -> None:
-    bench = Bench(slots=1)
-    bench.submit('a', Urgency.deferrable, deadline=100)
-    bench.submit('a', Urgency.normal)
-    bench.now = 80
-    head = bench.scheduler.queues[AccountName('a')].head(bench.now)
+    harness = SchedulerHarness(slots=1)
+    harness.submit('a', Urgency.deferrable, deadline=100)
+    harness.submit('a', Urgency.normal)
+    harness.now = 80
+    head = harness.scheduler.queues[AccountName('a')].head(harness.now)
     assert head is not None
     assert head.deadline == 100
 
 
 def test_late_tickets_are_removed() -> None:
-    bench = Bench()
-    bench.submit('a', deadline=5)
-    bench.submit('a')
-    assert len(bench.scheduler.pop_expired(5)) == 1
-    assert len(bench.scheduler.tickets) == 1
+    harness = SchedulerHarness()
+    harness.submit('a', deadline=5)
+    harness.submit('a')
+    assert len(harness.scheduler.pop_expired(5)) == 1
+    assert len(harness.scheduler.tickets) == 1
 
 
 def test_full_queue_reports_when_to_retry() -> None:
-    bench = Bench(queue_limit=2)
-    answers = [bench.submit('a') for _ in range(3)]
+    harness = SchedulerHarness(queue_limit=2)
+    answers = [harness.submit('a') for _ in range(3)]
     assert answers[:2] == [None, None]
     assert isinstance(answers[2], QueueFull)
     assert answers[2].retry_after > 0
-    assert bench.submit('b') is None
+    assert harness.submit('b') is None
 
 
 def test_adopted_slots_count_and_are_charged_once() -> None:
-    bench = Bench(slots=1)
-    key = (LIFE, TicketId(7))
+    harness = SchedulerHarness(slots=1)
+    key = (INCARNATION, TicketId(7))
     slot = HeldSlot(AccountName('a'), UpstreamName('u'), pending=40, spent=60)
-    bench.scheduler.adopt(key, slot, 0)
-    bench.scheduler.adopt(key, slot, 0)
-    bench.submit('b')
-    assert not bench.grant()
-    assert bench.scheduler.report(key, 100, 0, 0) == 40
-    bench.scheduler.release(key, failed=False, now=0)
-    assert bench.scheduler.fair.share_of(AccountName('a')).service == 40
-    assert bench.grant() == ['b']
+    harness.scheduler.adopt(key, slot, 0)
+    harness.scheduler.adopt(key, slot, 0)
+    harness.submit('b')
+    assert not harness.grant()
+    assert harness.scheduler.report(key, 100, 0, 0) == 40
+    harness.scheduler.release(key, failed=False, now=0)
+    assert harness.scheduler.fair.share_of(AccountName('a')).service == 40
+    assert harness.grant() == ['b']
 
 
 def test_slots_of_a_lost_router_are_released() -> None:
-    bench = Bench(slots=2)
-    bench.keep_backlogged('a')
-    bench.grant()
-    bench.scheduler.drop_router(LIFE, 0)
-    assert not bench.scheduler.tickets
-    assert bench.scheduler.capacity.free_slots() == 2
+    harness = SchedulerHarness(slots=2)
+    harness.keep_backlogged('a')
+    harness.grant()
+    harness.scheduler.drop_router(INCARNATION, 0)
+    assert not harness.scheduler.tickets
+    assert harness.scheduler.capacity.free_slots() == 2
 
 
 def test_failing_upstream_gets_a_backoff_then_one_trial() -> None:
@@ -244,25 +244,25 @@
 
 
 def test_draining_upstream_gets_no_work_and_keeps_running_requests() -> None:
-    bench = Bench(slots=2)
-    bench.submit('a')
-    bench.grant()
-    bench.scheduler.set_upstreams({}, 0)
-    bench.submit('a')
-    assert not bench.grant()
-    assert len(bench.scheduler.held) == 1
-    bench.finish_all()
-    bench.scheduler.set_upstreams({UpstreamName('u'): 2}, 0)
-    assert bench.grant() == ['a']
+    harness = SchedulerHarness(slots=2)
+    harness.submit('a')
+    harness.grant()
+    harness.scheduler.set_upstreams({}, 0)
+    harness.submit('a')
+    assert not harness.grant()
+    assert len(harness.scheduler.held) == 1
+    harness.finish_all()
+    harness.scheduler.set_upstreams({UpstreamName('u'): 2}, 0)
+    assert harness.grant() == ['a']
 
 
 def test_ticket_that_avoids_every_upstream_still_gets_one() -> None:
     """Guards against a ticket, and its caller, that wait forever."""
-    bench = Bench()
-    bench.submit('a')
-    ticket = next(iter(bench.scheduler.tickets.values()))
-    ticket.avoid = frozenset(bench.scheduler.capacity.loads)
-    assert bench.grant() == ['a']
+    harness = SchedulerHarness()
+    harness.submit('a')
+    ticket = next(iter(harness.scheduler.tickets.values()))
+    ticket.avoid = frozenset(harness.scheduler.capacity.loads)
+    assert harness.grant() == ['a']
 
 
 class NullSlotOwner:
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -151,7 +151,7 @@
     assert callers.runs_of(fleet) == runs
 
 
-def ask_slowly(port: int, body_bytes: int) -> bytes:
+def send_in_parts(port: int, body_bytes: int) -> bytes:
     """Send a large body in parts without reading; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
@@ -169,12 +169,12 @@
     # Guards against a close while bytes of the body are unread: the kernel resets
     # the connection, and a caller that is still sending never reads the answer.
     port = fleet.routers[0].port
-    answer = await asyncio.to_thread(ask_slowly, port, 40 * PIECE_BYTES)
+    answer = await asyncio.to_thread(send_in_parts, port, 40 * PIECE_BYTES)
     assert answer.startswith(b'HTTP/1.1 413')
     assert b'too-large' in answer
 
 
-def ask_in_chunks(port: int, pieces: int) -> bytes:
+def send_in_chunks(port: int, pieces: int) -> bytes:
     """Send a large body in chunks, without its length; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
@@ -189,7 +189,7 @@
 async def test_a_body_that_grows_too_large_is_answered_at_its_end(fleet: Fleet) -> None:
     # No answer has been sent before the end, so the connection must stay open
     # however large the body grows.
-    answer = await asyncio.to_thread(ask_in_chunks, fleet.routers[0].port, 400)
+    answer = await asyncio.to_thread(send_in_chunks, fleet.routers[0].port, 400)
     assert answer.startswith(b'HTTP/1.1 413')
 
 
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize('role', ['hub', 'box'])
-def test_a_program_that_runs_is_not_started_beside_itself(
+def test_a_running_program_is_not_started_twice(
     role: str,
     started: list[FakeProcess],
     tmp_path: Path,
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -41,7 +41,7 @@
     'state',
     [LinkState.forth_held, LinkState.back_held, LinkState.silent],
 )
-async def test_what_is_held_arrives_when_the_link_is_whole_again(
+async def test_held_bytes_arrive_once_the_link_is_restored(
     state: LinkState,
 ) -> None:
     async with running_proxy() as proxy:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize('seed', [1, 905])
-def test_no_promise_breaks_under_the_faults_of_a_seed(
+def test_no_guarantee_is_violated_under_the_faults_of_a_seed(
     tmp_path: Path,
     seed: int,
 ) -> None:
@@ -40,16 +40,18 @@
         (Answer('a', '/once/', 200, True, GOOD), 2, 1),
     ],
 )
-def test_each_broken_promise_is_told(answer: Answer, runs: int, broken: int) -> None:
+def test_each_violated_guarantee_is_reported(
+    answer: Answer, runs: int, broken: int
+) -> None:
     history = History(asked={'a'}, answers=[answer])
     assert len(history.broken(Counter({'a': runs}))) == broken
 
 
-def test_a_read_that_goes_back_and_work_nobody_asked_for_are_told() -> None:
+def test_stale_reads_and_unrequested_work_are_reported() -> None:
     history = History(accepted=4, reads=[(4, 3), (3, 3)])
     assert len(history.broken(Counter({'stranger': 1}))) == 2
 
 
-def test_requests_to_an_upstream_that_wants_none_are_told() -> None:
+def test_requests_to_an_unwilling_upstream_are_reported() -> None:
     history = History(unwilling=[('w0', 3, 3), ('w1', 4, 3)])
     assert len(history.broken(Counter())) == 1
