--- a/tests/cover/test_suspended_timers.py
+++ b/tests/cover/test_suspended_timers.py
@@ -1,10 +1,10 @@
 """Timeouts count the time during which the machine is suspended.
 
-The monotonic clock stops during a suspension, the boot-time clock does not.  Leases and
-request deadlines use the boot-time clock; if their timers run on the monotonic clock of
-the event loop, a request past its deadline is held for as long as the suspension lasted,
-and a silent link is trusted as long.  The fault was found by a review of the clocks; no
-recorded run shows it.
+The monotonic clock stops during a suspension; the boot-time clock does not.  Leases
+and request deadlines use the boot-time clock.  If timers run on the monotonic clock of
+the event loop, a request past its deadline is held for the length of the suspension,
+and a silent link is trusted for as long.  The fault was found by a review of the
+clocks; no recorded run shows it.
 """
 
 import asyncio
