--- a/tests/cover/test_ends_found.py
+++ b/tests/cover/test_ends_found.py
@@ -1,10 +1,10 @@
-"""An upstream that still takes a connection while it ends has ended.
+"""A crash is detected even if the upstream still accepts a connection meanwhile.
 
-Three engines ended under one request, within 30 ms; the router that saw it found one
-of these ends.  Asked for a connection right after their answers had broken off, the
-other two still took it: the kernel closes what a process has open one after the other,
-and the port it listens on need not be first.  So the request was not kept away, and two
-more engines ended under it.
+The kernel closes the descriptors of a crashed process one after the other, and the
+listening socket need not be the first.  When one request crashed three engines within
+30 ms, two of them still accepted the probe that followed their broken responses: the
+router detected only one crash, did not quarantine the request, and it crashed two more
+engines.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 SECONDS = 5.0
 
 
-class Ending:
-    """An upstream that ends as it takes its next connection."""
+class CrashingUpstream:
+    """An upstream that crashes as it accepts its next connection."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> Address:
-        """Listen on loopback; return where."""
+        """Listen on loopback; return the address."""
         self.server = await asyncio.start_server(self._end, '127.0.0.1', 0)
         host, port = self.server.sockets[0].getsockname()
         return Address(f'{host}:{port}')
@@ -45,22 +45,22 @@
         writer.transport.abort()
 
 
-def of_router(address: Address) -> Probe:
+def router_probe(address: Address) -> Probe:
     return partial(accepts_connections, address)
 
 
-def of_box(address: Address) -> Probe:
+def box_probe(address: Address) -> Probe:
     upstream = replace(engine('e0'), address=address)
     return partial(ConnectionPool(boot_seconds).is_reachable, upstream)
 
 
-@pytest.mark.parametrize('asker', [of_router, of_box])
-async def test_an_end_that_still_took_a_connection_is_found(
+@pytest.mark.parametrize('asker', [router_probe, box_probe])
+async def test_a_crash_after_an_accepted_connection_is_detected(
     asker: Callable[[Address], Probe],
 ) -> None:
     ended: list[UpstreamIncarnation] = []
     crash_detector = CrashDetector(Quarantine(boot_seconds, Signal()), ended.append)
-    reaches = asker(await Ending().listen())
+    reaches = asker(await CrashingUpstream().listen())
     crash_detector.record_broken_response(
         UpstreamIncarnation('e0'), fingerprint_of(b'lethal'), reaches
     )
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams that check no fence: one sender, and no repeats."""
+"""Orders to upstreams without fencing: a single sender and no duplicates."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
 
 @dataclass
 class FakeReplica:
-    """What the sender asks of a replica."""
+    """The part of a replica that the sender of orders uses."""
 
     leadership: Leadership
     term: int = 7
@@ -37,7 +37,7 @@
 
 @dataclass
 class FakeLeader:
-    """A leader that may lose office after some checks."""
+    """A leader that can be deposed after a number of checks."""
 
     machine: StateMachine
     replica: FakeReplica
@@ -45,24 +45,24 @@
     finished: list[FinishOrder] = field(default_factory=list)
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the current time."""
         return boot_seconds()
 
     def check_leads(self) -> None:
-        """Lose office in time."""
+        """Raise an error once the leader is deposed."""
         self.checks_left -= 1
         if self.checks_left < 0:
             raise NotLeaderError('')
 
     async def execute(self, command: Command) -> None:
-        """Note how an order ended."""
+        """Record the outcome of an order."""
         assert isinstance(command, FinishOrder)
         self.finished.append(command)
 
 
 @dataclass
 class Site:
-    """An engine, and a leader just elected with one order open."""
+    """An engine, and a newly elected leader with one unfinished order."""
 
     leader: FakeLeader
     engine: Engine
@@ -70,20 +70,20 @@
     records: Path
 
     async def carry_out(self) -> list[FinishOrder]:
-        """Have the order sent."""
+        """Send the order; return the recorded outcomes."""
         sender = OrderSender(cast(Leader, self.leader), WeightStore(1e9))
         await sender._execute_order(1, self.leader.machine.state.orders[1])
         return self.leader.finished
 
     def sent(self) -> list[float]:
-        """Return when the engine took orders."""
+        """Return the times at which the engine received orders."""
         lines = read_records(self.records)
         return [float(one['at']) for one in lines if one['event'] == 'order']
 
 
 @pytest.fixture
 async def site(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Site:
-    """Return a site whose engine checks no fence."""
+    """Return a site whose engine does not check fencing tokens."""
     monkeypatch.setattr(orders, 'FLIGHT_SECONDS', FLIGHT)
     port = free_ports(1)[0]
     records = tmp_path / 'records'
@@ -98,7 +98,7 @@
     return Site(leader, engine, server, records)
 
 
-async def test_new_leader_waits_out_the_flight_of_earlier_orders(site: Site) -> None:
+async def test_new_leader_waits_for_orders_in_flight(site: Site) -> None:
     finished = await site.carry_out()
     assert [one.state for one in finished] == ['done']
     elected_at = site.leader.replica.leadership.started_at
@@ -106,25 +106,28 @@
     assert boot_seconds() - elected_at >= FLIGHT
 
 
-async def test_what_an_earlier_leader_did_unseen_is_not_repeated(site: Site) -> None:
+async def test_an_order_run_by_an_earlier_leader_is_not_resent(site: Site) -> None:
     site.engine.loaded.add('m')
     finished = await site.carry_out()
     assert [one.state for one in finished] == ['done']
     assert not site.sent()
 
 
-async def test_leader_out_of_office_sends_nothing(site: Site) -> None:
+async def test_deposed_leader_sends_nothing(site: Site) -> None:
     site.leader.checks_left = 0
     assert not await site.carry_out()
     assert not site.sent()
 
 
 @pytest.mark.parametrize('checks_fences', [True, False])
-async def test_an_order_waits_for_the_pause_that_an_upstream_asks_for(
+async def test_an_order_waits_for_the_retry_after_of_its_upstream(
     site: Site,
     checks_fences: bool,
 ) -> None:
-    """An upstream that asked for a pause was asked again after 0.2 s, ten times."""
+    """Guards against ignoring Retry-After.
+
+    The sender used to retry after 0.2 s, ten times, whatever the upstream asked for.
+    """
     kept = site.leader.machine.state.resources['upstream/e'].resource
     assert isinstance(kept, Upstream)
     upstream = Upstream(name='e', address=kept.address, checks_fences=checks_fences)
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -1,4 +1,4 @@
-"""What a router knows: configuration, lease, directory, placement, usage."""
+"""State of a router: configuration, lease, directory, placement, usage."""
 
 import pytest
 
@@ -71,7 +71,7 @@
 
 
 def change(view: FleetView, *changes: ResourceChange) -> None:
-    """Bring a view to its next version."""
+    """Advance a view to its next version."""
     version = view.version
     assert view.apply(
         Delta(from_version=version, version=version + 1, changes=changes),
@@ -118,7 +118,7 @@
     assert view.reachable_pools(AccountName('b')) == (pool,)
 
 
-def test_deleted_key_opens_nothing() -> None:
+def test_deleted_key_authenticates_nobody() -> None:
     view = view_of(*BASE)
     change(view, written(Account(name='a', key_hashes=('new',))))
     assert 'h' not in view.account_by_key
@@ -153,7 +153,7 @@
     lease.renew(number, 3.0)
     assert lease.is_live()
     clock[0] = 2.9
-    assert not lease.is_live(), 'the answer took 2 of the 3 seconds'
+    assert not lease.is_live(), 'the answer used up 2 of the 3 seconds'
 
 
 def test_answer_to_an_unknown_beat_grants_nothing() -> None:
@@ -169,11 +169,11 @@
 
 
 def shard(epoch: int) -> ShardEntry:
-    """Return a shard's holder."""
+    """Return the directory entry of a shard at an epoch."""
     return ShardEntry(shard='p/0', router='r', epoch=epoch)
 
 
-def test_late_word_of_an_earlier_epoch_is_ignored() -> None:
+def test_late_message_of_an_earlier_epoch_is_ignored() -> None:
     directory = FleetDirectory()
     directory.update(Directory(shards=[shard(2)]))
     directory.update(Directory(shards=[shard(1)]))
@@ -195,11 +195,11 @@
 
 
 def sums(**costs: int) -> list[UsageSum]:
-    """Return sums in one shard."""
+    """Return usage sums of accounts in one shard."""
     return [UsageSum(shard='p/0', account=one, cost=n) for one, n in costs.items()]
 
 
-def test_usage_counts_once_whatever_is_repeated_or_late() -> None:
+def test_usage_counts_once_if_repeated_or_late() -> None:
     table = UsageTable()
     for report in (sums(a=10), sums(a=30), sums(a=10), sums(a=30)):
         table.merge('life', report)
