--- a/standins/engine.py
+++ b/standins/engine.py
@@ -23,8 +23,8 @@
 _CHARACTERS_PER_TOKEN = 4
 _CONFLICT = 409
 _UNAVAILABLE = 503
-_CRASHED = 9
-_PORT_LAST_SECONDS = 0.2
+_CRASH_EXIT_CODE = 9
+_PORT_LINGER_SECONDS = 0.2
 """Time for which the port of a crashing engine still accepts connections."""
 
 
@@ -43,25 +43,25 @@
         self.caches: OrderedDict[str, str] = OrderedDict()
 
 
-class Base(RequestHandler):
+class EngineHandler(RequestHandler):
     """Base of the handlers."""
 
     def initialize(self, engine: Engine) -> None:
         """Take the engine."""
         self.engine = engine
 
-    def turn_away(self) -> bool:
+    def reject_with_backoff(self) -> bool:
         """Answer that a pause is wanted, if one is; tell whether it is."""
-        pause = self.engine.faults.get('pause')
-        if not pause:
+        retry_after = self.engine.faults.get('pause')
+        if not retry_after:
             return False
         self.set_status(_UNAVAILABLE)
-        self.set_header('Retry-After', str(pause))
+        self.set_header('Retry-After', str(retry_after))
         self.finish({})
         return True
 
 
-class ChatHandler(Base):
+class ChatHandler(EngineHandler):
     """Chat completions, always streamed."""
 
     async def post(self) -> None:
@@ -69,7 +69,7 @@
         body = json.loads(self.request.body)
         request = self.request.headers.get('X-Request-Id', '')
         self.engine.recorder.write('taken', request=request)
-        if self.turn_away():
+        if self.reject_with_backoff():
             return
         self.engine.running += 1
         self.closed = False
@@ -104,7 +104,7 @@
             if self.closed:
                 return 'cancelled'
             if stop_after is not None and position >= stop_after:
-                return self._die()
+                return self._drop_connection()
             if position == self.engine.faults.get('end_early'):
                 await self.finish()
                 return 'cut'
@@ -125,10 +125,10 @@
         """Exit; with ``port_last`` the port still accepts after the break."""
         if self.engine.faults.get('port_last'):
             self.detach().close()
-            time.sleep(_PORT_LAST_SECONDS)
-        os._exit(_CRASHED)
+            time.sleep(_PORT_LINGER_SECONDS)
+        os._exit(_CRASH_EXIT_CODE)
 
-    def _die(self) -> str:
+    def _drop_connection(self) -> str:
         self.request.connection.stream.close()  # type: ignore[union-attr]
         return 'died'
 
@@ -149,7 +149,7 @@
         self.write(b'data: ' + json.dumps(content).encode() + b'\n\n')
 
 
-class FaultHandler(Base):
+class FaultHandler(EngineHandler):
     """Sets and clears faults."""
 
     def post(self) -> None:
@@ -158,13 +158,13 @@
         self.finish({'faults': self.engine.faults})
 
 
-class OrderHandler(Base):
+class OrderHandler(EngineHandler):
     """Fenced orders: load, unload, role."""
 
     def get(self) -> None:
         """Say what is loaded, and the last fence seen."""
         self.engine.recorder.write('order-asked')
-        if self.turn_away():
+        if self.reject_with_backoff():
             return
         self.finish(
             {'loaded': sorted(self.engine.loaded), 'fence': self.engine.fence},
@@ -174,7 +174,7 @@
         """Carry out an order unless its fence is old."""
         order = json.loads(self.request.body)
         self.engine.recorder.write('order-taken', **order)
-        if self.turn_away():
+        if self.reject_with_backoff():
             return
         fence = (order['term'], order['sequence'])
         checks = not self.engine.faults.get('no_fence_check')
@@ -192,27 +192,27 @@
         self.finish({'fence': self.engine.fence})
 
 
-class CacheHandler(Base):
+class CacheHandler(EngineHandler):
     """Export and import of a session's KV cache."""
 
     def get(self, session: str) -> None:
         """Export."""
         self.engine.recorder.write('cache-asked', session=session)
-        if self.turn_away():
+        if self.reject_with_backoff():
             return
         self.finish({'session': session, 'cache': self.engine.caches.get(session, '')})
 
     def put(self, session: str) -> None:
         """Import."""
         self.engine.recorder.write('cache-given', session=session)
-        if self.turn_away():
+        if self.reject_with_backoff():
             return
         self.engine.caches[session] = json.loads(self.request.body)['cache']
         self.engine.recorder.write('cache-import', session=session)
         self.finish({})
 
 
-class LoadHandler(Base):
+class LoadHandler(EngineHandler):
     """Load report."""
 
     def get(self) -> None:
@@ -223,14 +223,14 @@
 def answer_tokens(body: dict[str, Any]) -> tuple[list[str], int]:
     """Return the tokens of the whole answer, and how many are there already."""
     messages = body['messages']
-    so_far = ''
+    partial_answer = ''
     limit = body.get('max_tokens') or body.get('max_completion_tokens')
     if body.get('continue_final_message'):
-        so_far = messages[-1]['content']
+        partial_answer = messages[-1]['content']
         messages = messages[:-1]
     tokens = expected_tokens(str(messages[-1]['content']), limit or _DEFAULT_TOKENS)
-    done = so_far.count(' ')
-    if so_far and limit:
+    done = partial_answer.count(' ')
+    if partial_answer and limit:
         tokens = expected_tokens(str(messages[-1]['content']), limit + done)
     return tokens, done
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -22,8 +22,8 @@
 _BINARIES = Path(sys.executable).parent
 _START_SECONDS = 20.0
 _STOP_SECONDS = 30.0
-_POLL = 0.05
-_DOMAINS = 3
+_POLL_SECONDS = 0.05
+_DOMAIN_COUNT = 3
 
 
 class StartError(Exception):
@@ -71,10 +71,10 @@
 
     def stop(self) -> int:
         """Ask the process to stop, and return its exit code."""
-        self.ask_to_stop()
+        self.request_stop()
         return self.wait_until_stopped()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Ask the process to stop, also if it is frozen."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
@@ -101,7 +101,7 @@
             try:
                 socket.create_connection(('127.0.0.1', self.port), 1).close()
             except OSError:
-                time.sleep(_POLL)
+                time.sleep(_POLL_SECONDS)
             else:
                 return
         raise StartError(f'{self.name}: {self.log.read_text()[-2000:]}')
@@ -156,14 +156,14 @@
 
     def stop(self) -> dict[str, int]:
         """Stop every process by its id, routers first; returns exit codes."""
-        codes = {}
+        exit_codes = {}
         for group in (self.routers, self.controls, self.services, self.engines):
             running = [one for one in group if one.is_running()]
             for member in running:
-                member.ask_to_stop()
+                member.request_stop()
             for member in running:
-                codes[member.name] = member.wait_until_stopped()
-        return codes
+                exit_codes[member.name] = member.wait_until_stopped()
+        return exit_codes
 
     def lose_disk(self, control: Member) -> None:
         """Delete a control box's data folder."""
@@ -282,7 +282,7 @@
     settings.write_text(
         f"""
 box = "{name}"
-domain = "domain-{number % _DOMAINS}"
+domain = "domain-{number % _DOMAIN_COUNT}"
 fleet_token = "{FLEET_TOKEN}"
 roles = ["router"]
 
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -28,7 +28,7 @@
 WAIT_SECONDS = 15.0
 POLL_SECONDS = 0.03
 REPORT_SECONDS = 1.0
-UNSURE = 503
+SERVICE_UNAVAILABLE = 503
 
 
 def document(version: int, **changes: object) -> dict[str, object]:
@@ -104,7 +104,7 @@
     folder: Path
     areas: dict[str, str] = field(default_factory=dict)
     hubs: list[Hub] = field(default_factory=list)
-    doors: dict[str, list[HTTPServer]] = field(default_factory=dict)
+    servers: dict[str, list[HTTPServer]] = field(default_factory=dict)
     boxes: list[EntryBox] = field(default_factory=list)
     workers: list[Worker] = field(default_factory=list)
     client: AsyncHTTPClient = field(
@@ -133,14 +133,14 @@
         """Start one hub with its doors."""
         hub = await start_hub(settings, read_document)
         self.hubs.append(hub)
-        self.doors[settings.box] = start_servers(hub)
+        self.servers[settings.box] = start_servers(hub)
         return hub
 
     async def kill_hub(self, hub: Hub) -> None:
         """End a hub with no word to anybody."""
         self.hubs.remove(hub)
-        for door in self.doors.pop(hub.settings.box):
-            door.stop()
+        for server in self.servers.pop(hub.settings.box):
+            server.stop()
         await hub.stop()
 
     async def start_box(self, number: int) -> EntryBox:
@@ -195,7 +195,7 @@
         body = json.dumps(worker.report(sequence, state))
         return await self.call('PUT', control, f'/api/instances/{worker.name}', body)
 
-    async def keep_reporting(self) -> None:
+    async def report_periodically(self) -> None:
         """Report every worker again and again, as the platform's workers do.
 
         A worker that reports but once counts as silent after some seconds, and
@@ -235,7 +235,7 @@
         """Return the newest document; a hub that is unsure is asked again."""
         reply = await self.read(hub)
         async with asyncio.timeout(WAIT_SECONDS):
-            while reply.code == UNSURE:
+            while reply.code == SERVICE_UNAVAILABLE:
                 await asyncio.sleep(POLL_SECONDS)
                 reply = await self.read(hub)
         return json.loads(reply.body)
@@ -299,8 +299,10 @@
     def _is_settled(self, box: EntryBox, version: int) -> bool:
         known = box.link.known
         names = {str(name) for name in known.registry.names()}
-        told = all(worker.life in names for worker in self.workers if not worker.ended)
-        return known.documents.version >= version and told
+        reported = all(
+            worker.life in names for worker in self.workers if not worker.ended
+        )
+        return known.documents.version >= version and reported
 
 
 @asynccontextmanager
@@ -316,28 +318,28 @@
     reporting: asyncio.Task[None] | None = None
     try:
         await _start(site, hubs, boxes, disks_lost)
-        reporting = asyncio.create_task(site.keep_reporting())
+        reporting = asyncio.create_task(site.report_periodically())
         yield site
     finally:
         await _stop(site, reporting)
 
 
-def _state_of(site: Site) -> str:
+def _describe_state(site: Site) -> str:
     """Return how far each process is, for whoever waited for it in vain."""
-    told = []
+    states = []
     for hub in site.hubs:
         figures = ', '.join(hub.metrics_text().replace('hitchdeck_', '').splitlines())
-        told.append(
+        states.append(
             f'{hub.settings.box}: live {sorted(hub.known_hubs.reachable)}, {figures}'
         )
     for box in site.boxes:
         known = box.link.known
         names = sorted(known.registry.names())
-        told.append(
+        states.append(
             f'{box.settings.box}: hubs {sorted(box.known_hubs.reachable)}, '
             f'document {known.documents.version}, upstreams {names}',
         )
-    return '; '.join(told)
+    return '; '.join(states)
 
 
 async def _stop(site: Site, reporting: asyncio.Task[None] | None) -> None:
@@ -351,7 +353,7 @@
     try:
         await _start_all(site, hubs, boxes, disks_lost)
     except TimeoutError as error:
-        raise TimeoutError(_state_of(site)) from error
+        raise TimeoutError(_describe_state(site)) from error
 
 
 async def _start_all(site: Site, hubs: int, boxes: int, disks_lost: int) -> None:
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -141,13 +141,13 @@
     ) -> None:
         self.connections += 1
         self.open.append(writer)
-        going_on = True
+        keep_open = True
         try:
-            while going_on:
-                going_on = await self._serve_one(Peer(reader, writer))
+            while keep_open:
+                keep_open = await self._serve_one(Peer(reader, writer))
         except (ConnectionError, asyncio.IncompleteReadError):
             # The box closed the connection; there is nobody to answer.
-            going_on = False
+            keep_open = False
         self.open.remove(writer)
         writer.close()
 
@@ -163,13 +163,13 @@
             peer.writer.write(self._answer(request, '421 Misdirected', b''))
             return True
         if self.lethal and request.body == self.lethal:
-            return await self._end_under(request, peer)
+            return await self._crash_during_answer(request, peer)
         serve = self._behaviour()
         return await serve(request, peer)
 
     def _behaviour(self) -> Callable[[Seen, Peer], Awaitable[bool]]:
         if self.faults_left <= 0:
-            return self._answer_well
+            return self._answer_normally
         self.faults_left -= 1
         return {
             Fault.error: self._answer_error,
@@ -180,9 +180,9 @@
             Fault.stale: self._answer_stale,
             Fault.surplus: self._answer_surplus,
             Fault.hang: self._hang,
-        }.get(self.fault, self._answer_well)
+        }.get(self.fault, self._answer_normally)
 
-    async def _answer_well(self, request: Seen, peer: Peer) -> bool:
+    async def _answer_normally(self, request: Seen, peer: Peer) -> bool:
         self.ran.append(request.attempt)
         if request.headers.get('model'):
             return await self._stream(request, peer, self.events)
@@ -191,7 +191,7 @@
         )
         return True
 
-    async def _end_under(self, request: Seen, peer: Peer) -> bool:
+    async def _crash_during_answer(self, request: Seen, peer: Peer) -> bool:
         self.ran.append(request.attempt)
         head = self._head(request, '200 OK', self.name)
         peer.writer.write(f'{head}Transfer-Encoding: chunked\r\n\r\n'.encode())
@@ -236,14 +236,14 @@
     async def _answer_stale(self, request: Seen, peer: Peer) -> bool:
         other = Seen(request.line, {'attempt-id': 'another'}, b'')
         peer.writer.write(self._answer(other, '200 OK', b'not yours', seal=self.name))
-        return await self._answer_well(request, peer)
+        return await self._answer_normally(request, peer)
 
     async def _answer_surplus(
         self,
         request: Seen,
         peer: Peer,
     ) -> bool:
-        await self._answer_well(request, peer)
+        await self._answer_normally(request, peer)
         peer.writer.write(self._answer(request, '200 OK', b'once more', seal=self.name))
         return True
 
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -39,10 +39,10 @@
         for port in self.left:
             if _is_free(port):
                 return port
-        self.left = self._claim()
+        self.left = self._reserve_block()
         return self.take()
 
-    def _claim(self) -> Iterator[int]:
+    def _reserve_block(self) -> Iterator[int]:
         for start in range(self.first, self.last, BLOCK):
             claim = socket.socket()
             try:
--- a/standins/service.py
+++ b/standins/service.py
@@ -28,7 +28,7 @@
         request = self.request.headers.get('X-Request-Id', '')
         body = json.loads(self.request.body or b'{}')
         if body.get('pause'):
-            self._turn_away(request, body['pause'])
+            self._reject(request, body['pause'])
             return
         self.recorder.write('run', path=path, request=request, body=body)
         await asyncio.sleep(self.delay)
@@ -40,10 +40,10 @@
         await asyncio.sleep(self.delay)
         await self.finish({'looked_up': path, 'query': self.request.query})
 
-    def _turn_away(self, request: str, pause: float) -> None:
+    def _reject(self, request: str, retry_after: float) -> None:
         self.recorder.write('turned-away', request=request)
         self.set_status(_UNAVAILABLE)
-        self.set_header('Retry-After', str(pause))
+        self.set_header('Retry-After', str(retry_after))
         self.finish({})
 
 
