--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins for what hitchdeck talks to, and a launcher of fleets.
+"""Test doubles for the systems that hitchdeck talks to, and a fleet launcher.
 
-None of this ships.  Each stand-in speaks the published protocol of what it
-stands for, and records what it ran, which is the truth that tests check
-answers against.
+Used by tests, soak runs and benchmarks only; not shipped.  Each stand-in
+implements the published protocol of the system that it replaces, and records
+what it executed, so that tests can check responses against these records.
 """
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""A model engine: OpenAI-compatible, batching, with a deterministic answer.
+"""An OpenAI-compatible model engine with concurrent slots and fixed output.
 
-The answer repeats the last user message and goes on with numbered tokens, so
-a caller can tell its own whole answer from any other.  A fault can be set by
-``POST /faults``.
+The answer consists of the last user message followed by numbered tokens, so a
+caller can verify that an answer is complete and belongs to its own request.
+Faults are injected by ``POST /faults``.
 """
 
 import asyncio
@@ -25,11 +25,16 @@
 _UNAVAILABLE = 503
 _CRASH_EXIT_CODE = 9
 _PORT_LINGER_SECONDS = 0.2
-"""Time for which the port of a crashing engine still accepts connections."""
+"""How long the port of a crashing engine still accepts connections."""
 
 
 class Engine:
-    """State of one engine; times in seconds."""
+    """State of one engine.
+
+    ``slots`` is the number of requests generated concurrently, ``gap`` the time
+    between two tokens in seconds, and ``fence`` the highest (term, sequence) of
+    an order seen so far.
+    """
 
     def __init__(self, name: str, slots: int, gap: float, recorder: Recorder) -> None:
         self.name = name
@@ -44,14 +49,14 @@
 
 
 class EngineHandler(RequestHandler):
-    """Base of the handlers."""
+    """Base class of the request handlers."""
 
     def initialize(self, engine: Engine) -> None:
-        """Take the engine."""
+        """Set the engine that the handler serves."""
         self.engine = engine
 
     def reject_with_backoff(self) -> bool:
-        """Answer that a pause is wanted, if one is; tell whether it is."""
+        """Reject with 503 and ``Retry-After`` if that fault is set; return whether."""
         retry_after = self.engine.faults.get('pause')
         if not retry_after:
             return False
@@ -62,10 +67,10 @@
 
 
 class ChatHandler(EngineHandler):
-    """Chat completions, always streamed."""
+    """Chat completions; the response is always streamed."""
 
     async def post(self) -> None:
-        """Generate."""
+        """Generate an answer and record how the request finished."""
         body = json.loads(self.request.body)
         request = self.request.headers.get('X-Request-Id', '')
         self.engine.recorder.write('taken', request=request)
@@ -85,7 +90,7 @@
             self.engine.recorder.write('end', request=request, outcome=outcome)
 
     def on_connection_close(self) -> None:
-        """Note that the router hung up."""
+        """Mark the request as cancelled by the router."""
         self.closed = True
 
     async def _generate(self, request: str, body: dict[str, Any]) -> str:
@@ -122,7 +127,11 @@
         return 'whole'
 
     def _crash(self) -> None:
-        """Exit; with ``port_last`` the port still accepts after the break."""
+        """Exit the process as a crash does.
+
+        With the fault ``port_last``, the port still accepts connections for a
+        while after the request's connection has closed.
+        """
         if self.engine.faults.get('port_last'):
             self.detach().close()
             time.sleep(_PORT_LINGER_SECONDS)
@@ -150,19 +159,19 @@
 
 
 class FaultHandler(EngineHandler):
-    """Sets and clears faults."""
+    """Injects and clears faults."""
 
     def post(self) -> None:
-        """Replace the faults by those given."""
+        """Replace all faults by those in the body."""
         self.engine.faults = json.loads(self.request.body)
         self.finish({'faults': self.engine.faults})
 
 
 class OrderHandler(EngineHandler):
-    """Fenced orders: load, unload, role."""
+    """Orders with fencing tokens: load, unload, role."""
 
     def get(self) -> None:
-        """Say what is loaded, and the last fence seen."""
+        """Return what is loaded, and the highest fence seen."""
         self.engine.recorder.write('order-asked')
         if self.reject_with_backoff():
             return
@@ -171,7 +180,7 @@
         )
 
     def post(self) -> None:
-        """Carry out an order unless its fence is old."""
+        """Execute an order, or answer 409 if its fence is lower than one seen."""
         order = json.loads(self.request.body)
         self.engine.recorder.write('order-taken', **order)
         if self.reject_with_backoff():
@@ -193,17 +202,17 @@
 
 
 class CacheHandler(EngineHandler):
-    """Export and import of a session's KV cache."""
+    """Exports and imports the KV cache of a session."""
 
     def get(self, session: str) -> None:
-        """Export."""
+        """Export the cache; empty if the session has none."""
         self.engine.recorder.write('cache-asked', session=session)
         if self.reject_with_backoff():
             return
         self.finish({'session': session, 'cache': self.engine.caches.get(session, '')})
 
     def put(self, session: str) -> None:
-        """Import."""
+        """Import the cache in the body."""
         self.engine.recorder.write('cache-given', session=session)
         if self.reject_with_backoff():
             return
@@ -213,15 +222,15 @@
 
 
 class LoadHandler(EngineHandler):
-    """Load report."""
+    """Reports the engine's load."""
 
     def get(self) -> None:
-        """Say how many requests run or wait inside the engine."""
+        """Return the number of requests that are running or queued."""
         self.finish({'running': self.engine.running})
 
 
 def answer_tokens(body: dict[str, Any]) -> tuple[list[str], int]:
-    """Return the tokens of the whole answer, and how many are there already."""
+    """Return all tokens of the answer, and how many the request already contains."""
     messages = body['messages']
     partial_answer = ''
     limit = body.get('max_tokens') or body.get('max_completion_tokens')
@@ -236,13 +245,13 @@
 
 
 def expected_tokens(prompt: str, count: int) -> list[str]:
-    """Return the answer to a prompt: each token ends with a blank."""
+    """Return the tokens that answer a prompt; each token ends with a space."""
     first = prompt.replace(' ', '_')
     return [f'{first} ', *(f't{number} ' for number in range(1, count))]
 
 
 def make_app(engine: Engine) -> Application:
-    """Return the engine's application."""
+    """Return the Tornado application of an engine."""
     shared = {'engine': engine}
     return Application(
         [
@@ -263,7 +272,7 @@
     slots: int = 8,
     gap: float = 0.01,
 ) -> None:
-    """Serve on loopback until killed."""
+    """Serve on loopback until the process is killed."""
     engine = Engine(name, slots, gap, Recorder(Path(log)))
     make_app(engine).listen(port, '127.0.0.1')
     await asyncio.Event().wait()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a fleet of real processes on loopback, and hurts them on request."""
+"""Runs a fleet of real processes on loopback, and injects process failures."""
 
 import os
 import shutil
@@ -27,7 +27,7 @@
 
 
 class StartError(Exception):
-    """Raised when a process does not come up; the message ends with its log."""
+    """Raised when a process fails to start; the message ends with its log."""
 
 
 @dataclass
@@ -41,12 +41,12 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process and wait until its port answers."""
+        """Start the process and wait until its port accepts connections."""
         self.launch()
         self.wait_until_up()
 
     def launch(self) -> None:
-        """Start the process."""
+        """Start the process without waiting for its port."""
         path = f'{_ROOT}:{os.environ.get("PYTHONPATH", "")}'
         environment = {**os.environ, 'PYTHONPATH': path}
         with self.log.open('ab') as log:
@@ -59,28 +59,28 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send the process a signal, by its id."""
+        """Send a signal to the process, by its process ID."""
         assert self.process is not None
         os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """End the process at once, as a power cut would."""
+        """Kill the process without a shutdown, as a power failure would."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     def stop(self) -> int:
-        """Ask the process to stop, and return its exit code."""
+        """Shut down the process gracefully, and return its exit code."""
         self.request_stop()
         return self.wait_until_stopped()
 
     def request_stop(self) -> None:
-        """Ask the process to stop, also if it is frozen."""
+        """Send SIGTERM, after SIGCONT in case the process is suspended."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
 
     def wait_until_stopped(self) -> int:
-        """Return the exit code, killing the process if it takes too long."""
+        """Return the exit code, killing the process if it exceeds the time limit."""
         assert self.process is not None
         try:
             return self.process.wait(_STOP_SECONDS)
@@ -89,11 +89,17 @@
             return self.process.wait()
 
     def is_running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def wait_until_up(self) -> None:
-        """Wait until the process answers on its port."""
+        """Wait until the process accepts connections on its port.
+
+        Raises
+        ------
+        StartError
+            If the process exits, or does not listen within the time limit.
+        """
         deadline = time.monotonic() + _START_SECONDS
         while time.monotonic() < deadline:
             if not self.is_running():
@@ -104,12 +110,12 @@
                 time.sleep(_POLL_SECONDS)
             else:
                 return
-        raise StartError(f'{self.name}: {self.log.read_text()[-2000:]}')
+        raise StartError(f'{self.name} did not start: {self.log.read_text()[-2000:]}')
 
 
 @dataclass
 class Fleet:
-    """A fleet in one folder."""
+    """A fleet whose settings, logs and data are in one folder."""
 
     folder: Path
     controls: list[Member] = field(default_factory=list)
@@ -119,12 +125,12 @@
 
     @property
     def members(self) -> list[Member]:
-        """Every process."""
+        """All processes of the fleet."""
         return [*self.engines, *self.services, *self.controls, *self.routers]
 
     @property
     def control_addresses(self) -> str:
-        """Addresses of the control boxes, as the command line wants them."""
+        """Addresses of the control boxes, comma-separated for the command line."""
         return ','.join(f'127.0.0.1:{one.port}' for one in self.controls)
 
     def hitchdeck(
@@ -132,7 +138,7 @@
         *arguments: str,
         check: bool = True,
     ) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command line."""
+        """Run the operator command line with the fleet's control addresses."""
         environment = {
             **os.environ,
             'HITCHDECK_CONTROL': self.control_addresses,
@@ -147,7 +153,7 @@
         )
 
     def start(self) -> None:
-        """Start every process and found the control group."""
+        """Start all processes and initialize the control group."""
         for member in self.members:
             member.launch()
         for member in self.members:
@@ -155,7 +161,7 @@
         self.hitchdeck('control', 'init')
 
     def stop(self) -> dict[str, int]:
-        """Stop every process by its id, routers first; returns exit codes."""
+        """Shut down all processes, routers first; return exit codes by name."""
         exit_codes = {}
         for group in (self.routers, self.controls, self.services, self.engines):
             running = [one for one in group if one.is_running()]
@@ -166,15 +172,16 @@
         return exit_codes
 
     def lose_disk(self, control: Member) -> None:
-        """Delete a control box's data folder."""
+        """Delete the data folder of a control box, to simulate a lost disk."""
         shutil.rmtree(self.folder / control.name)
 
 
 @dataclass(frozen=True)
 class FleetSize:
-    """How many processes of each kind, and how they are set.
+    """Number of processes of each kind, and their settings.
 
-    ``gap`` is the engines' time between tokens, in seconds.
+    ``slots`` is the number of concurrent requests of an engine, and ``gap`` its
+    time between two tokens, in seconds.
     """
 
     controls: int = 3
@@ -190,7 +197,7 @@
 
 
 def make_fleet(folder: Path, size: FleetSize) -> Fleet:
-    """Write the settings of a fleet; nothing is started."""
+    """Write the settings of a fleet without starting any process."""
     folder.mkdir(parents=True, exist_ok=True)
     fleet = Fleet(folder)
     ports = iter(
@@ -211,7 +218,7 @@
 
 @contextmanager
 def running_fleet(folder: Path, size: FleetSize) -> Iterator[Fleet]:
-    """Run a fleet within a block."""
+    """Run a fleet within a ``with`` block; kill its processes at exit."""
     fleet = make_fleet(folder, size)
     try:
         fleet.start()
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,7 +1,7 @@
-"""A small deployment on loopback, in one event loop: hubs, boxes, workers.
+"""A small deployment of hubs, boxes and workers on loopback, in one event loop.
 
-The processes' own parts are the real ones; only the platform around them, its
-operator, callers and workers, stands in.
+Hubs and boxes run the production code.  Only the surrounding platform is
+simulated: its operator, its callers and its workers.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def document(version: int, **changes: object) -> dict[str, object]:
-    """Return an operator's document of this stand-in site."""
+    """Return the configuration document that the operator of this site publishes."""
     return {
         'version': version,
         'routes': [
@@ -57,7 +57,7 @@
 
 
 def route(name: str, prefix: str, kind: str, **more: object) -> dict[str, object]:
-    """Return one route of a document."""
+    """Return one route of a configuration document."""
     return {
         'name': name,
         'host': HOST,
@@ -73,14 +73,20 @@
 
 
 def generation(attempt: str, key: str, parts: str, tokens: str, body: int) -> bytes:
-    """Return a caller's generation as it goes over a connection.
+    """Return a caller's generation request as bytes on the wire.
 
     Parameters
     ----------
-    parts, tokens
-        The prompt's parts, and its count with the most that is generated.
+    attempt
+        ID that the caller gives the request.
+    key
+        API key of the client account.
+    parts
+        Value of ``Prompt-Prefix``: the parts of the prompt.
+    tokens
+        Value of ``Token-Count``: tokens of the prompt and the maximum to generate.
     body
-        Length of the body in bytes.
+        Length of the body, in bytes.
     """
     lines = (
         'POST /s/ HTTP/1.1',
@@ -99,7 +105,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """A running stand-in deployment."""
+    """A running simulated deployment."""
 
     folder: Path
     areas: dict[str, str] = field(default_factory=dict)
@@ -112,7 +118,7 @@
     )
 
     async def start_hubs(self, count: int, disks_lost: int) -> None:
-        """Start hubs, each with a data folder, all with the same seeds."""
+        """Start hubs with the same seeds, each with its own data folder."""
         addresses = [free_address() for _ in range(count)]
         for number, address in enumerate(addresses):
             settings = HubSettings(
@@ -130,21 +136,21 @@
             await self.start_hub(settings)
 
     async def start_hub(self, settings: HubSettings) -> Hub:
-        """Start one hub with its doors."""
+        """Start one hub and its HTTP servers."""
         hub = await start_hub(settings, read_document)
         self.hubs.append(hub)
         self.servers[settings.box] = start_servers(hub)
         return hub
 
     async def kill_hub(self, hub: Hub) -> None:
-        """End a hub with no word to anybody."""
+        """Stop a hub without notifying any other process."""
         self.hubs.remove(hub)
         for server in self.servers.pop(hub.settings.box):
             server.stop()
         await hub.stop()
 
     async def start_box(self, number: int) -> EntryBox:
-        """Start an entry box."""
+        """Start an entry box that uses the first three hubs as seeds."""
         settings = EntrySettings(
             box=f'box-{number}',
             domain='a',
@@ -187,7 +193,11 @@
         state: str = 'ready',
         hub: int = 0,
     ) -> HTTPResponse:
-        """Report a worker to a hub."""
+        """Report a worker to a hub.
+
+        A sequence higher than the last one is stored with its state, and later
+        periodic reports continue from it.
+        """
         if sequence > worker.sequence:
             worker.sequence = sequence
             worker.state = state
@@ -196,10 +206,10 @@
         return await self.call('PUT', control, f'/api/instances/{worker.name}', body)
 
     async def report_periodically(self) -> None:
-        """Report every worker again and again, as the platform's workers do.
+        """Report every running worker periodically, as the platform's workers do.
 
-        A worker that reports but once counts as silent after some seconds, and
-        a box then prefers whichever of two reported last.
+        A worker that reports only once counts as silent after some seconds; of
+        two workers, a box then prefers the one that reported last.
         """
         while True:
             await asyncio.sleep(REPORT_SECONDS)
@@ -208,7 +218,7 @@
                     await self.tell(worker, worker.sequence + 1, worker.state)
 
     async def publish(self, given: object, hub: int = 0) -> HTTPResponse:
-        """Send a document to a hub."""
+        """Publish a configuration document at a hub."""
         control = self.hubs[hub].settings.control_listen
         text = given if isinstance(given, str) else json.dumps(given)
         return await self.call('PUT', control, '/api/config', text)
@@ -221,18 +231,18 @@
         active: bool = True,
         body: str | None = None,
     ) -> HTTPResponse:
-        """Send an order on a failure domain to a hub."""
+        """Start or end the evacuation of a failure domain, by a request to a hub."""
         control = self.hubs[hub].settings.control_listen
         method = 'POST' if active else 'DELETE'
         return await self.call(method, control, f'/api/evacuations/{domain}', body)
 
     async def read(self, hub: int = 0) -> HTTPResponse:
-        """Ask a hub for the newest document."""
+        """Request the newest document from a hub."""
         control = self.hubs[hub].settings.control_listen
         return await self.call('GET', control, '/api/config')
 
     async def read_surely(self, hub: int = 0) -> object:
-        """Return the newest document; a hub that is unsure is asked again."""
+        """Return the newest document, retrying while the hub answers 503."""
         reply = await self.read(hub)
         async with asyncio.timeout(WAIT_SECONDS):
             while reply.code == SERVICE_UNAVAILABLE:
@@ -248,7 +258,7 @@
         body: str | None = None,
         **headers: str,
     ) -> HTTPResponse:
-        """Make one HTTP call."""
+        """Send one HTTP request; underscores in header names become hyphens."""
         request = HTTPRequest(
             f'http://{address}{path}',
             method,
@@ -260,7 +270,7 @@
         return await self.client.fetch(request, raise_error=False)
 
     async def ask(self, path: str, attempt: str, **more: str) -> HTTPResponse:
-        """Send a caller's request to the first box, as ``more`` headers say."""
+        """Send a caller's request to the first box; ``more`` overrides its headers."""
         headers = {
             'Host': HOST,
             'Attempt_Id': attempt,
@@ -272,7 +282,7 @@
         return await self.call('POST', address, path, 'body', **headers)
 
     async def ask_model(self, path: str, attempt: str, **more: str) -> HTTPResponse:
-        """Send a caller's generation to the first box."""
+        """Send a caller's generation request to the first box."""
         prompt = {
             'Model': 'm',
             'Token_Count': '300,40',
@@ -281,13 +291,13 @@
         return await self.ask(path, attempt, **{**prompt, **more})
 
     async def settle(self, version: int = 1) -> None:
-        """Wait until every box has a document and every worker."""
+        """Wait until every box has the document version and knows all live workers."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not all(self._is_settled(box, version) for box in self.boxes):
                 await asyncio.sleep(POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all boxes, hubs and workers."""
         for box in self.boxes:
             await box.stop()
         for hub in list(self.hubs):
@@ -313,7 +323,7 @@
     disks_lost: int = 0,
     areas: dict[str, str] | None = None,
 ) -> AsyncIterator[Site]:
-    """Run a site with two engines and two plain workers, document 1 in force."""
+    """Run a site with two engines, two plain workers and document version 1."""
     site = Site(folder, areas or {})
     reporting: asyncio.Task[None] | None = None
     try:
@@ -325,7 +335,7 @@
 
 
 def _describe_state(site: Site) -> str:
-    """Return how far each process is, for whoever waited for it in vain."""
+    """Describe the state of each hub and box, for the message of a timeout."""
     states = []
     for hub in site.hubs:
         figures = ', '.join(hub.metrics_text().replace('hitchdeck_', '').splitlines())
@@ -349,7 +359,7 @@
 
 
 async def _start(site: Site, hubs: int, boxes: int, disks_lost: int) -> None:
-    """Start everything; what takes too long is told with how far each part is."""
+    """Start all processes; a timeout reports the state of each hub and box."""
     try:
         await _start_all(site, hubs, boxes, disks_lost)
     except TimeoutError as error:
@@ -367,7 +377,7 @@
 
 
 async def until_taken(site: Site, given: dict[str, object]) -> None:
-    """Send a document again and again until it is accepted."""
+    """Publish a document, retrying until a hub accepts it."""
     async with asyncio.timeout(WAIT_SECONDS):
         while (await site.publish(given)).code != 200:
             await asyncio.sleep(POLL_SECONDS)
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform's workers, written by its published protocol.
+"""A simulated worker that implements the platform's published protocol.
 
-Serves streams and plain calls, records what it ran, and misbehaves as told.
+Serves streams and plain calls, records what it executed, and injects faults.
 """
 
 import asyncio
@@ -11,7 +11,29 @@
 
 
 class Fault(Enum):
-    """How a worker treats its next requests."""
+    """Fault that a worker injects into its next requests.
+
+    Attributes
+    ----------
+    none
+        Answers normally.
+    error
+        Executes the request and answers 500.
+    shed
+        Answers 503 and declares that the request was not executed.
+    reset
+        Executes the request and aborts the connection without a response.
+    cut
+        Aborts the connection in the middle of a stream.
+    unsealed
+        Omits the header ``Server-Seal``.
+    stale
+        Sends a response to another request before the right one.
+    surplus
+        Sends a second response after the right one.
+    hang
+        Never responds.
+    """
 
     none = 'none'
     error = 'error'
@@ -26,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """One request as it reached a worker."""
+    """One request as a worker received it."""
 
     line: str
     headers: dict[str, str]
@@ -34,13 +56,13 @@
 
     @property
     def attempt(self) -> str:
-        """Return the caller's id of the request."""
+        """Return the ID that the caller gave the request."""
         return self.headers.get('attempt-id', '')
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A box's connection to a worker."""
+    """The streams of a connection from a box to a worker."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -48,14 +70,36 @@
 
 @dataclass(slots=True)
 class Worker:
-    """One worker and what it saw.
-
-    ``gap`` is the time between two events of a stream, in seconds; ``cut_at``
-    the number of whole events before a stream that is cut; ``lethal`` a body
-    under which the worker ends, its port with it; ``born`` the time of its
-    start in Unix ms, 0 where it does not say; ``pause`` what it says with a
-    request that it turns away, and ``leaving`` whether its answers say that it
-    leaves.
+    """One worker, its faults, and the requests that it received.
+
+    Attributes
+    ----------
+    cold_left_ms
+        Remaining cold start time that it reports, in ms.
+    born
+        Start time that it reports, in Unix ms; 0 if it reports none.
+    gap
+        Time between two events of a stream, in seconds.
+    events
+        ID of the last event of a stream; IDs start at 1.
+    cut_at
+        ID of the last complete event of a stream that is cut off.
+    lethal
+        A request with this body crashes the worker, which closes its port.
+    pause
+        Value of ``Retry-After`` when it sheds a request; empty for none.
+    leaving
+        Whether its responses announce that it is draining.
+    ended
+        Whether it has crashed.
+    faults_left
+        Number of requests that ``fault`` still applies to.
+    ran
+        IDs of the requests that it executed.
+    left
+        IDs of the requests whose connection the box closed early.
+    connections
+        Number of connections accepted so far.
     """
 
     name: str
@@ -85,29 +129,29 @@
 
     @property
     def life(self) -> str:
-        """Return what tells this life from the worker's others."""
+        """Return the name of this incarnation of the worker."""
         return f'{self.name}/{self.born}' if self.born else self.name
 
     async def start(self) -> None:
-        """Listen on loopback, at the port of the life before if there was one."""
+        """Listen on loopback, on the port of the previous incarnation if any."""
         self.server = await asyncio.start_server(self._serve, '127.0.0.1', self.port)
         host, self.port = self.server.sockets[0].getsockname()
         self.address = f'{host}:{self.port}'
 
     async def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening; connections stay open."""
         assert self.server is not None
         self.server.close()
 
     async def end(self) -> None:
-        """End at once, as a process does that crashes."""
+        """Stop listening and abort all connections, as a crash does."""
         self.ended = True
         await self.stop()
         for writer in self.open:
             writer.transport.abort()
 
     async def restart(self, born: int) -> None:
-        """Start again under the same name, at the address where it was."""
+        """Start a new incarnation with the same name and address."""
         address = self.address
         await self.start()
         self.address = address
@@ -117,12 +161,12 @@
         self.ended = False
 
     def misbehave(self, fault: Fault, times: int = 1) -> None:
-        """Treat the next requests so."""
+        """Inject a fault into the next requests."""
         self.fault = fault
         self.faults_left = times
 
     def report(self, sequence: int, state: str = 'ready') -> dict[str, object]:
-        """Return what the worker reports to a hub."""
+        """Return the status report that the worker sends to a hub."""
         return {
             'service': self.pool,
             'address': self.address,
@@ -146,7 +190,7 @@
             while keep_open:
                 keep_open = await self._serve_one(Peer(reader, writer))
         except (ConnectionError, asyncio.IncompleteReadError):
-            # The box closed the connection; there is nobody to answer.
+            # The box closed the connection, so no response can be sent.
             keep_open = False
         self.open.remove(writer)
         writer.close()
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,10 +1,10 @@
-"""Ports on loopback that stay this process's own until something listens there.
+"""Loopback ports reserved for this process until it listens on them.
 
-A port that was free when it was picked may be taken before its hub listens: by
-an outgoing connection, to which the kernel gives any port of its own range, or
-by another process that picks.  So ports come from below that range, in blocks,
-and a block is held by a socket that listens on its first port for as long as
-the process lives.
+A port that was free when it was selected can be in use before the server binds
+it: the kernel may assign it to an outgoing connection, or another process may
+select it too.  Ports are therefore allocated below the ephemeral port range, in
+blocks.  A socket listening on the first port of a block reserves the block for
+as long as the process runs.
 """
 
 import socket
@@ -15,18 +15,18 @@
 HOST = '127.0.0.1'
 FIRST = 20_000
 LAST = 32_000
-"""Below 32,768, where the kernel's range for outgoing connections begins."""
+"""Exclusive; below 32,768, the default start of the ephemeral port range."""
 
 BLOCK = 40
-"""Ports of a block: more than one test takes, so that one claim serves it."""
+"""Ports per block; exceeds what one test needs, so one reservation is enough."""
 
 
 class PortsTakenError(Exception):
-    """Raised when other processes hold every block."""
+    """Raised when every block is reserved already."""
 
 
 class Ports:
-    """Ports of one process, none handed out twice."""
+    """Allocator of ports for one process; never returns a port twice."""
 
     def __init__(self, first: int = FIRST, last: int = LAST) -> None:
         self.first = first
@@ -35,7 +35,13 @@
         self.left: Iterator[int] = iter(())
 
     def take(self) -> int:
-        """Return a port on which nothing listens, or raise ``PortsTakenError``."""
+        """Return a port on which nothing listens.
+
+        Raises
+        ------
+        PortsTakenError
+            If the current block is used up and no other block is free.
+        """
         for port in self.left:
             if _is_free(port):
                 return port
@@ -48,13 +54,13 @@
             try:
                 claim.bind((HOST, start))
             except OSError:
-                # Another process has this block.
+                # The block is reserved, or its first port is in use.
                 claim.close()
                 continue
             claim.listen()
             self.claims.append(claim)
             return iter(range(start + 1, start + BLOCK))
-        raise PortsTakenError(f'{self.first} to {self.last}')
+        raise PortsTakenError(f'no free block from port {self.first} to {self.last}')
 
 
 def _is_free(port: int) -> bool:
@@ -70,10 +76,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody else is given."""
+    """Return ports reserved for the caller."""
     return [_ports.take() for _ in range(count)]
 
 
 def free_address() -> Address:
-    """Return an address that nobody else is given."""
+    """Return a loopback address with a port reserved for the caller."""
     return Address(f'{HOST}:{_ports.take()}')
--- a/standins/records.py
+++ b/standins/records.py
@@ -1,4 +1,4 @@
-"""Execution records: what a stand-in truly ran, one JSON object a line."""
+"""Execution records of a stand-in: one JSON object per line."""
 
 import json
 import time
@@ -7,19 +7,19 @@
 
 
 class Recorder:
-    """Appends records to a file."""
+    """Appends records to a file, line-buffered."""
 
     def __init__(self, path: Path) -> None:
         self.stream = path.open('a', buffering=1)
 
     def write(self, event: str, **fields: Any) -> None:
-        """Record an event with the time on the clock shared by the machine."""
+        """Append an event, with the monotonic time that all local processes share."""
         line = {'event': event, 'at': time.monotonic(), **fields}
         self.stream.write(f'{json.dumps(line)}\n')
 
 
 def read_records(path: Path) -> list[dict[str, Any]]:
-    """Return the records of a file."""
+    """Return the records of a file, or an empty list if it does not exist."""
     if not path.exists():
         return []
     return [json.loads(line) for line in path.read_text().splitlines()]
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,6 +1,7 @@
-"""A plain service whose calls must not be repeated: confirmations.
+"""A plain HTTP service whose POST requests are not idempotent.
 
-A call with a ``pause`` in its body is turned away, and asks for that many seconds.
+A POST with a ``pause`` in its JSON body is rejected with status 503, and the
+value of ``pause`` (seconds) is returned as ``Retry-After``.
 """
 
 import asyncio
@@ -16,15 +17,15 @@
 
 
 class ConfirmHandler(RequestHandler):
-    """Runs whatever it is asked to, as often as it is asked."""
+    """Executes and records every request, duplicates included."""
 
     def initialize(self, recorder: Recorder, delay: float) -> None:
-        """Take the recorder and the time a call takes, in seconds."""
+        """Set the recorder and the duration of a call, in seconds."""
         self.recorder = recorder
         self.delay = delay
 
     async def post(self, path: str) -> None:
-        """Confirm."""
+        """Record the request and confirm it, or reject it if ``pause`` is set."""
         request = self.request.headers.get('X-Request-Id', '')
         body = json.loads(self.request.body or b'{}')
         if body.get('pause'):
@@ -36,7 +37,7 @@
         await self.finish({'confirmed': body, 'path': path})
 
     async def get(self, path: str) -> None:
-        """Look up."""
+        """Answer a lookup; lookups are not recorded."""
         await asyncio.sleep(self.delay)
         await self.finish({'looked_up': path, 'query': self.request.query})
 
@@ -48,7 +49,7 @@
 
 
 async def serve(port: int, log: str, delay: float = 0.01) -> None:
-    """Serve on loopback until killed."""
+    """Serve on loopback until the process is killed."""
     shared = {'recorder': Recorder(Path(log)), 'delay': delay}
     application = Application(
         [(r'/(.*)', ConfirmHandler, shared)],
