--- a/packages/edge/src/hitchdeck_edge/state/registry.py
+++ b/packages/edge/src/hitchdeck_edge/state/registry.py
@@ -1,10 +1,10 @@
-"""Upstreams as they reported themselves, merged from every source.
+"""Registry of upstreams, merged from their reports over every path.
 
-Soft state: it needs no quorum.  The newer record of an incarnation wins, a suspected
-crash is merged by the report that clears it, and a later incarnation of an instance
-ends the earlier ones.  Each is a maximum, so any order of arrival over any path ends in
-the same state after a bounded number of records, and each box keeps what it last knew
-while no hub can be reached.
+It is soft state and needs no quorum.  The newer record of an incarnation wins,
+suspicions of a crash are merged by the sequence of the report that clears them, and a
+later incarnation of an instance ends the earlier ones.  Each of these merges is a
+maximum, so records converge to the same state in any order, and each box keeps its
+last state while no hub is reachable.
 """
 
 from collections.abc import Iterable
@@ -13,16 +13,22 @@
 
 from hitchdeck_core import logs
 from hitchdeck_core.clock import Clock
-from hitchdeck_core.ids import Address, InstanceName, LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import (
+    Address,
+    InstanceName,
+    PoolName,
+    UpstreamIncarnation,
+    UpstreamName,
+)
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.upstreams import Phase, Suspicion, Upstream, name_of_life
+from hitchdeck_edge.model.upstreams import Phase, Suspicion, Upstream, incarnation_name
 from hitchdeck_edge.state.cold import ColdUpstreams
 
-GONE_KEPT_SECONDS = 120.0
-"""How long the end of an upstream is remembered: far longer than a late
-report or a cut link may delay word of it; bounds the memory."""
+GONE_RETENTION_SECONDS = 120.0
+"""Time for which the record of a gone upstream is kept.  It is far longer than a report
+can be delayed by a lost link; records are dropped after it to bound memory."""
 
-_NOBODY = UpstreamName('')
+_NO_NAME = UpstreamName('')
 
 
 class Registry:
@@ -31,24 +37,28 @@
     Attributes
     ----------
     changes
-        Number of the last change; ``numbers`` tells each record's.
-    heard
-        When each upstream was last heard of, on the given clock, seconds.
-    stored
-        When each record last changed, likewise.
+        Number of the last change.
+    change_numbers
+        Number of the last change of each record.
+    last_heard
+        Time of the last report of each upstream, in seconds of the given clock.
+    changed_at
+        Time of the last change of each record, likewise.
     holders
         The upstream that reported each address last.
-    newest
-        The latest life known of each instance, also when it has ended.
+    latest
+        The latest known incarnation of each instance, gone or not.
     superseded
-        Lives that ended since a later one of their instance is known.
+        Incarnations that were replaced by a later one of their instance.
     cold
         Which upstreams are cold.
     closed_domains
         Failure domains whose upstreams get no new work.
+    serving_cache, serving_cached_at
+        Results of ``serving``, and the number of the change that they are based on.
     hears_reports
         Whether upstreams report to this process.  Only such a process suspects the
-        earlier holder of an address: nobody would clear the suspicion of another.
+        earlier holder of an address, since only reports clear a suspicion.
     """
 
     def __init__(
@@ -57,34 +67,34 @@
         self.now = now
         self.hears_reports = hears_reports
         self.records: dict[UpstreamName, Upstream] = {}
-        self.numbers: dict[UpstreamName, int] = {}
-        self.heard: dict[UpstreamName, float] = {}
-        self.stored: dict[UpstreamName, float] = {}
+        self.change_numbers: dict[UpstreamName, int] = {}
+        self.last_heard: dict[UpstreamName, float] = {}
+        self.changed_at: dict[UpstreamName, float] = {}
         self.holders: dict[Address, UpstreamName] = {}
-        self.newest: dict[InstanceName, UpstreamName] = {}
+        self.latest: dict[InstanceName, UpstreamName] = {}
         self.superseded: set[UpstreamName] = set()
         self.changes = 0
         self.changed = changed
-        self.listed: dict[PoolName, list[Upstream]] = {}
-        self.listed_at = 0
+        self.serving_cache: dict[PoolName, list[Upstream]] = {}
+        self.serving_cached_at = 0
         self.cold = ColdUpstreams(now)
         self.closed_domains: frozenset[str] = frozenset()
 
     def merge(self, record: Upstream, origin: str) -> bool:
-        """Take a record if it is newer; tell whether anything changed."""
-        if self._is_of_earlier_life(record):
+        """Merge a record; tell whether it changed anything."""
+        if self._is_of_earlier_incarnation(record):
             return False
         known = self.records.get(record.name)
-        cools = self.cold.report(record.name, record.sequence, record.cold_left)
-        if record == known and not cools:
+        cold_changed = self.cold.report(record.name, record.sequence, record.cold_left)
+        if record == known and not cold_changed:
             return False
         if known is not None:
-            record = _join(record, known)
+            record = _merge_records(record, known)
             if record.sequence > known.sequence:
-                # Somebody has heard of it since.
-                self.heard[record.name] = self.now()
-            if not cools and not _differs(record, known):
-                # A report that says nothing new is not passed on.
+                # Another process received a later report.
+                self.last_heard[record.name] = self.now()
+            if not cold_changed and not _differs(record, known):
+                # Store the sequence, but do not propagate a report without changes.
                 self.records[record.name] = record
                 return False
         self._store(record)
@@ -95,26 +105,33 @@
             address=record.address,
             phase=record.phase.name,
             sequence=record.sequence,
-            silent=record.silent,
+            silent=record.unresponsive,
             cold_left=round(self.cold.seconds_left(record.name), 3),
             cleared_by=record.cleared_by,
             origin=origin,
         )
-        self._end_earlier_lives(record)
+        self._end_earlier_incarnations(record)
         if known is None or known.address != record.address:
             self._suspect_holder(record)
         return True
 
     def hear(self, name: UpstreamName) -> None:
-        """Note that an upstream was heard of now; its reports clear suspicions."""
-        self.heard[name] = self.now()
+        """Record that a report of an upstream arrived just now."""
+        self.last_heard[name] = self.now()
 
     def end(self, instance: InstanceName, origin: str, born: int = 0) -> None:
-        """Note that a life ended, known or not; the latest where none is named."""
-        named = name_of_life(instance, born)
-        known = self.newest_life(instance)
+        """Record that an incarnation is gone, known or not.
+
+        Parameters
+        ----------
+        born
+            Which incarnation of the instance; 0 for the latest known one.
+        """
+        named = incarnation_name(instance, born)
+        known = self.latest_incarnation(instance)
         if known is None or (born and known.name != named):
-            # An earlier life than the latest one is not taken; it has ended.
+            # ``merge`` ignores the record of an incarnation before the latest one,
+            # which counts as gone already.
             known = Upstream(
                 named,
                 PoolName(''),
@@ -128,34 +145,35 @@
             )
         self.merge(replace(known, phase=Phase.gone), origin)
 
-    def newest_life(self, instance: InstanceName) -> Upstream | None:
-        """Return the latest life known of an instance, ended or not."""
-        return self.records.get(self.newest.get(instance, _NOBODY))
+    def latest_incarnation(self, instance: InstanceName) -> Upstream | None:
+        """Return the latest known incarnation of an instance, gone or not."""
+        return self.records.get(self.latest.get(instance, _NO_NAME))
 
     def since(self, number: int) -> list[Upstream]:
         """Return the records that changed after a change number."""
         return [
             record
             for name, record in self.records.items()
-            if self.numbers[name] > number
+            if self.change_numbers[name] > number
         ]
 
     def serving(self, pool: PoolName) -> list[Upstream]:
-        """Return the upstreams of a pool that may get new work, not to be changed.
+        """Return the upstreams of a pool that may get new work.
 
-        Kept until something changes: every request asks.
+        The list is cached until the next change, as every request needs it; callers
+        must not modify it.
         """
-        if self.listed_at != self.changes:
-            self.listed = {}
-            self.listed_at = self.changes
-        known = self.listed.get(pool)
+        if self.serving_cached_at != self.changes:
+            self.serving_cache = {}
+            self.serving_cached_at = self.changes
+        known = self.serving_cache.get(pool)
         if known is None:
             known = [
                 record
                 for record in self.records.values()
                 if record.pool == pool and self.takes_work(record)
             ]
-            self.listed[pool] = known
+            self.serving_cache[pool] = known
         return known
 
     def takes_work(self, record: Upstream) -> bool:
@@ -164,44 +182,50 @@
         return open_domain and record.phase is Phase.serving
 
     def close_domains(self, domains: frozenset[str]) -> list[Upstream]:
-        """Send no new work to some failure domains.
+        """Stop new work to the given failure domains, and only to these.
 
         Returns
         -------
-        The upstreams of domains that were closed before and are open now.
+        list of Upstream
+            The upstreams of domains that were closed before and are open now.
         """
         reopened = self.closed_domains - domains
         self.closed_domains = domains
-        self.listed = {}
+        self.serving_cache = {}
         return [one for one in self.records.values() if one.domain in reopened]
 
-    def silence(self, limit: float) -> None:
-        """Mark upstreams that nobody heard of for ``limit`` seconds."""
+    def mark_unresponsive(self, limit: float) -> None:
+        """Suspect upstreams of which no report arrived for ``limit`` seconds."""
         horizon = self.now() - limit
         for name, record in list(self.records.items()):
-            last = self.heard.setdefault(name, self.now())
-            if last < horizon and not record.silent and record.phase is not Phase.gone:
-                logs.warning('upstream silent', upstream=name, seconds=limit)
+            last = self.last_heard.setdefault(name, self.now())
+            if (
+                last < horizon
+                and not record.unresponsive
+                and record.phase is not Phase.gone
+            ):
+                logs.warning('no report of upstream', upstream=name, seconds=limit)
                 self._raise_suspicion(record)
 
-    def suspect(self, life: LifeId) -> None:
-        """Suspect that an incarnation has crashed, until its next report."""
-        record = self.records.get(UpstreamName(life))
+    def suspect(self, incarnation: UpstreamIncarnation) -> None:
+        """Suspect that an incarnation has crashed; its next report clears this."""
+        record = self.records.get(UpstreamName(incarnation))
         if record is not None:
             self._raise_suspicion(record)
 
     def suspicions_since(self, number: int) -> list[Suspicion]:
-        """Return the suspected crashes that changed after a change number."""
+        """Return the suspected crashes in records changed after a change number."""
         return [
             Suspicion(record.name, record.cleared_by)
             for record in self.since(number)
-            if record.silent and record.phase is not Phase.gone
+            if record.unresponsive and record.phase is not Phase.gone
         ]
 
     def merge_suspicion(self, suspicion: Suspicion) -> None:
-        """Take a suspicion that another process has of an upstream.
+        """Merge a suspicion that another process raised.
 
-        Where a later report is known, the record that clears it is passed on.
+        If a later report is known already, the suspicion counts as cleared; the record
+        is propagated all the same and clears it at the other process.
         """
         record = self.records.get(suspicion.upstream)
         if record is None or record.phase is Phase.gone:
@@ -210,15 +234,15 @@
             self._store(replace(record, cleared_by=suspicion.cleared_by))
 
     def gone(self) -> set[UpstreamName]:
-        """Return the upstreams whose end is known."""
+        """Return the upstreams that are known to be gone."""
         return {
             name for name, record in self.records.items() if record.phase is Phase.gone
         }
 
     def replaced(self) -> list[tuple[Upstream, Upstream]]:
-        """Return lives that a later one has replaced, each with the latest."""
+        """Return superseded incarnations, each with the latest one of its instance."""
         earlier = [self.records[name] for name in self.superseded]
-        latest = [self.newest_life(one.lineage) for one in earlier]
+        latest = [self.latest_incarnation(one.instance_key) for one in earlier]
         return [
             (record, newer)
             for record, newer in zip(earlier, latest, strict=True)
@@ -226,33 +250,36 @@
         ]
 
     def forget_ended(self) -> None:
-        """Forget upstreams that have been gone or silent for long."""
-        horizon = self.now() - GONE_KEPT_SECONDS
+        """Drop upstreams gone or unresponsive for ``GONE_RETENTION_SECONDS``."""
+        horizon = self.now() - GONE_RETENTION_SECONDS
         for name, record in list(self.records.items()):
-            ended = record.phase is Phase.gone or record.silent
-            if ended and self.stored[name] < horizon:
+            ended = record.phase is Phase.gone or record.unresponsive
+            if ended and self.changed_at[name] < horizon:
                 self._forget(record)
 
     def names(self) -> Iterable[UpstreamName]:
-        """Return every name known, of ended ones too."""
+        """Return the names of all known upstreams, gone ones included."""
         return self.records.keys()
 
     def _store(self, record: Upstream) -> None:
         self.changes += 1
         self.records[record.name] = record
-        self.numbers[record.name] = self.changes
-        self.stored[record.name] = self.now()
-        self.heard.setdefault(record.name, self.now())
+        self.change_numbers[record.name] = self.changes
+        self.changed_at[record.name] = self.now()
+        self.last_heard.setdefault(record.name, self.now())
         self.changed.notify()
 
-    def _is_of_earlier_life(self, record: Upstream) -> bool:
-        newest = self.newest_life(record.lineage)
-        return newest is not None and record.age_rank < newest.age_rank
+    def _is_of_earlier_incarnation(self, record: Upstream) -> bool:
+        latest = self.latest_incarnation(record.instance_key)
+        return latest is not None and record.incarnation_rank < latest.incarnation_rank
 
-    def _end_earlier_lives(self, record: Upstream) -> None:
-        """End what this life replaces: it holds and knows nothing of before."""
-        before = self.newest_life(record.lineage)
-        self.newest[record.lineage] = record.name
+    def _end_earlier_incarnations(self, record: Upstream) -> None:
+        """Mark the incarnation that this one replaces as gone.
+
+        The new one has none of its requests, and nothing in its cache.
+        """
+        before = self.latest_incarnation(record.instance_key)
+        self.latest[record.instance_key] = record.name
         if before is None or before.name == record.name:
             return
         self.superseded.add(before.name)
@@ -261,10 +288,10 @@
             self._store(replace(before, phase=Phase.gone))
 
     def _suspect_holder(self, record: Upstream) -> None:
-        """Suspect the earlier upstream at an address that another one reports.
+        """Suspect the previous upstream at an address that another one reports.
 
-        The report may be a late one of an incarnation that has ended; then the
-        upstream that is suspected clears itself with its next report.
+        The report may be a delayed one of an incarnation that is gone; then the
+        next report of the suspected upstream clears the suspicion.
         """
         if record.phase is Phase.gone or not record.address:
             return
@@ -273,28 +300,33 @@
         if holder is None or holder == record.name or holder not in self.records:
             return
         if self.hears_reports and self._raise_suspicion(self.records[holder]):
-            logs.info('upstream superseded', upstream=holder, by=record.name)
+            logs.info('address reported by another', upstream=holder, by=record.name)
 
     def _raise_suspicion(self, record: Upstream) -> bool:
-        if record.phase is Phase.gone or record.silent:
+        if record.phase is Phase.gone or record.unresponsive:
             return False
         self._store(replace(record, cleared_by=record.sequence + 1))
         return True
 
     def _forget(self, record: Upstream) -> None:
-        for known in (self.records, self.numbers, self.heard, self.stored):
+        for known in (
+            self.records,
+            self.change_numbers,
+            self.last_heard,
+            self.changed_at,
+        ):
             known.pop(record.name, None)
         self.superseded.discard(record.name)
         self.cold.forget(record.name)
-        if self.newest.get(record.lineage) == record.name:
-            self.newest.pop(record.lineage)
-        self.listed = {}
+        if self.latest.get(record.instance_key) == record.name:
+            self.latest.pop(record.instance_key)
+        self.serving_cache = {}
         if self.holders.get(record.address) == record.name:
             self.holders.pop(record.address)
 
 
-def _join(record: Upstream, known: Upstream) -> Upstream:
-    """Return what is known of one incarnation by two records."""
+def _merge_records(record: Upstream, known: Upstream) -> Upstream:
+    """Merge two records of one incarnation."""
     if record.rank == known.rank:
         newer = max(record, known, key=_tie_break)
     else:
@@ -304,12 +336,12 @@
 
 
 def _tie_break(record: Upstream) -> str:
-    """Return the same order everywhere for two records of one report."""
+    """Return a sort key, equal at every process, for two records of one report."""
     return str(replace(record, cleared_by=0, cold_left=0))
 
 
 def _differs(record: Upstream, known: Upstream) -> bool:
-    """Tell whether a record says more than that another report came."""
-    if record.silent != known.silent:
+    """Tell whether two records differ in more than the sequence of the report."""
+    if record.unresponsive != known.unresponsive:
         return True
     return replace(record, sequence=known.sequence) != known
--- a/packages/edge/src/hitchdeck_edge/state/tallies.py
+++ b/packages/edge/src/hitchdeck_edge/state/tallies.py
@@ -1,4 +1,4 @@
-"""Load and demand as the boxes of a fleet report them."""
+"""Load of upstreams and demand of accounts, as boxes report them."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,27 +7,38 @@
 from hitchdeck_core.ids import AccountName, UpstreamName
 from hitchdeck_core.wire.spread_pb2 import BoxFrame, Demand, HubFrame, Load
 
-MOST_ON_WIRE = 4_294_967_295
-"""Largest number of a message's 32-bit field.  What callers say of their sizes adds up
-to more, and a frame that can't be written would end a box's stream."""
+MAX_UINT32 = 4_294_967_295
+"""Largest number that a message field of type ``uint32`` can hold.  Sizes that callers
+state may add up to more, and a frame that cannot be encoded would break the box's
+stream."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """Open work by upstream, and tokens asked for by account."""
+    """Load by upstream, and demand by account.
+
+    Attributes
+    ----------
+    waiting
+        Tokens to be read, by upstream.
+    running
+        Open requests, by upstream.
+    asked
+        Tokens demanded, by account.
+    """
 
     waiting: Counter[UpstreamName] = field(default_factory=Counter)
     running: Counter[UpstreamName] = field(default_factory=Counter)
     asked: Counter[AccountName] = field(default_factory=Counter)
 
     def add(self, other: 'Tally') -> None:
-        """Add another tally to this one."""
+        """Add another tally to this one, in place."""
         self.waiting.update(other.waiting)
         self.running.update(other.running)
         self.asked.update(other.asked)
 
     def without(self, other: 'Tally') -> 'Tally':
-        """Return this tally less another one."""
+        """Return the difference of this tally and another one."""
         rest = Tally(self.waiting.copy(), self.running.copy(), self.asked.copy())
         rest.waiting.subtract(other.waiting)
         rest.running.subtract(other.running)
@@ -35,29 +46,29 @@
         return rest
 
     def loads(self) -> list[Load]:
-        """Return the open work as messages, without idle upstreams."""
+        """Return the load as messages, without idle upstreams."""
         names = self.waiting.keys() | self.running.keys()
         return [
             Load(
                 upstream=name,
-                waiting_tokens=_on_wire(self.waiting[name]),
-                running=_on_wire(self.running[name]),
+                waiting_tokens=_as_uint32(self.waiting[name]),
+                running=_as_uint32(self.running[name]),
             )
             for name in names
             if self.waiting[name] > 0 or self.running[name] > 0
         ]
 
     def demands(self) -> list[Demand]:
-        """Return the tokens asked for as messages."""
+        """Return the demand as messages."""
         return [
-            Demand(account=name, tokens=_on_wire(tokens))
+            Demand(account=name, tokens=_as_uint32(tokens))
             for name, tokens in self.asked.items()
             if tokens > 0
         ]
 
 
 def tally_of(frame: BoxFrame | HubFrame) -> Tally:
-    """Return what a frame reports."""
+    """Return the load and demand that a frame reports."""
     tally = Tally()
     for load in frame.loads:
         tally.waiting[UpstreamName(load.upstream)] = int(load.waiting_tokens)
@@ -68,12 +79,12 @@
 
 
 def total_of(tallies: Iterable[Tally]) -> Tally:
-    """Return the sum of tallies."""
+    """Return the sum of several tallies."""
     total = Tally()
     for tally in tallies:
         total.add(tally)
     return total
 
 
-def _on_wire(number: int) -> int:
-    return min(MOST_ON_WIRE, max(0, number))
+def _as_uint32(number: int) -> int:
+    return min(MAX_UINT32, max(0, number))
--- a/packages/router/src/hitchdeck_router/context.py
+++ b/packages/router/src/hitchdeck_router/context.py
@@ -1,4 +1,4 @@
-"""What the doors and the dispatch of one router share."""
+"""State shared by the HTTP handlers and the dispatch of a router."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 from hitchdeck_core.backpressure import Backpressure
 from hitchdeck_core.histograms import Histograms
 from hitchdeck_core.ids import Incarnation
-from hitchdeck_core.quarantine.endings import Endings
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
 from hitchdeck_core.settings import RouterSection
 from hitchdeck_core.supervisor import Supervisor
 from hitchdeck_router.dispatch.budget import RetryBudget
@@ -18,7 +18,17 @@
 
 @dataclass(slots=True)
 class RouterContext:
-    """One router."""
+    """State and components of one router.
+
+    Attributes
+    ----------
+    outcomes
+        Number of requests by handler class and outcome.
+    active
+        Number of requests in flight.
+    leaving
+        Whether the router is draining.
+    """
 
     box: str
     domain: str
@@ -30,7 +40,7 @@
     ledger: Ledger
     histograms: Histograms
     supervisor: Supervisor
-    endings: Endings
+    crash_detector: CrashDetector
     backpressure: Backpressure
     budget: RetryBudget = field(default_factory=RetryBudget)
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
--- a/packages/router/src/hitchdeck_router/dispatch/caches.py
+++ b/packages/router/src/hitchdeck_router/dispatch/caches.py
@@ -1,7 +1,7 @@
-"""Moving a session's KV cache from one engine to another.
+"""Transfer of a session's KV cache between engines.
 
 Best effort: an engine that lacks the cache computes the prompt again, which
-costs time and nothing else, so no failure here may fail the request.
+only costs time, so that a failure here must not fail the request.
 """
 
 import json
@@ -11,8 +11,8 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
+from hitchdeck_router.dispatch.backpressure import apply_backpressure, check_accepting
 from hitchdeck_router.dispatch.calls import CallRequest, open_call
-from hitchdeck_router.dispatch.pauses import check_wants_requests, heed
 from hitchdeck_router.errors import (
     GrantLostError,
     UpstreamError,
@@ -20,7 +20,7 @@
 )
 
 _PATH = '/admin/cache/'
-_SILENCE = 2.0
+_READ_TIMEOUT_SECONDS = 2.0
 _OK = 200
 
 
@@ -35,15 +35,15 @@
     Returns
     -------
     bool
-        Whether the target has the cache now.
+        Whether the target has the cache.
     """
     origin = context.fleet.view.upstreams.get(source)
     if origin is None:
         return False
     try:
-        # Each session's move asked engines again that had asked for a pause.
+        # A transfer must not ignore the backoff that an engine requested.
         for end in (source, UpstreamName(target.name)):
-            check_wants_requests(context, end)
+            check_accepting(context, end)
         content = await _call(context, origin, session, 'GET', b'')
         if not json.loads(content).get('cache'):
             return False
@@ -67,13 +67,13 @@
         path=f'{_PATH}{quote(session)}',
         headers={'Content-Type': 'application/json'},
         body=body,
-        silence=_SILENCE,
+        read_timeout=_READ_TIMEOUT_SECONDS,
     )
     call = await open_call(upstream.address, request)
     try:
         head = await call.head()
-        heed(context, upstream, head)
-        content = await call.whole_body()
+        apply_backpressure(context, upstream, head)
+        content = await call.read_body()
     finally:
         call.close()
     if head.status != _OK:
--- a/packages/router/src/hitchdeck_router/dispatch/calls.py
+++ b/packages/router/src/hitchdeck_router/dispatch/calls.py
@@ -1,9 +1,9 @@
-"""One HTTP call to one upstream, on tornado's own client connection.
+"""HTTP calls to upstreams on tornado's ``HTTP1Connection``.
 
-Tornado's ``AsyncHTTPClient`` can neither be cancelled nor say whether the
-connection was made before a failure; ``HTTP1Connection`` under it gives
-both, and back pressure besides: the next chunk is read only once the last
-one was taken.
+Tornado's ``AsyncHTTPClient`` can't be cancelled, and doesn't report whether
+the connection was established before a failure.  The ``HTTP1Connection`` below
+it allows both, and backpressure: the next chunk is read only after the last
+one was consumed.
 """
 
 import asyncio
@@ -26,56 +26,56 @@
 from hitchdeck_router.errors import UpstreamBrokenError, UpstreamUnreachedError
 
 CONNECT_SECONDS = 2.0
-_LARGEST_ANSWER = 1024 * 1024 * 1024
-_CHUNK = 1024 * 10
+_MAX_RESPONSE_BYTES = 1024 * 1024 * 1024
+_CHUNK_BYTES = 1024 * 10
 
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """What to send; ``silence`` is the longest wait for a chunk, in seconds."""
+    """A request; ``read_timeout`` is the maximum wait for a chunk, in seconds."""
 
     method: str
     path: str
     headers: dict[str, str]
     body: bytes = b''
-    silence: float = 60.0
+    read_timeout: float = 60.0
 
 
 @dataclass(slots=True)
-class Head:
-    """The status and headers of an answer."""
+class ResponseHead:
+    """Status and headers of a response."""
 
     status: int
     headers: HTTPHeaders
 
 
 @dataclass(slots=True)
-class _End:
-    """The last thing in the queue; ``whole`` if the framing was complete."""
+class _ResponseEnd:
+    """End of a response; ``complete`` if its framing was complete."""
 
-    whole: bool
+    complete: bool
 
 
 @dataclass
 class _Receiver(HTTPMessageDelegate):
-    """Puts what the connection reads into a queue of one."""
+    """Puts the parts of a response into a queue of length one."""
 
-    queue: asyncio.Queue[Head | bytes | _End] = field(
+    queue: asyncio.Queue[ResponseHead | bytes | _ResponseEnd] = field(
         default_factory=lambda: asyncio.Queue(1),
     )
     ended: bool = False
     abandoned: bool = False
 
-    async def put(self, received: Head | bytes | _End) -> None:
-        """Hand something over, unless nobody will take it any more."""
+    async def put(self, received: ResponseHead | bytes | _ResponseEnd) -> None:
+        """Queue a part of the response, unless the call was abandoned."""
         if not self.abandoned:
             await self.queue.put(received)
 
     def abandon(self) -> None:
-        """Let the connection run to its end without anybody reading.
+        """Discard the rest of the response.
 
-        Cancelling the reading task instead would have tornado log an error
-        for each caller that goes away.
+        Cancelling the reader task instead would make tornado log an error for
+        each caller that disconnects.
         """
         self.abandoned = True
         while not self.queue.empty():
@@ -86,40 +86,40 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Pass the head on."""
+        """Queue the status and headers."""
         assert isinstance(start_line, ResponseStartLine)
-        await self.put(Head(start_line.code, headers))
+        await self.put(ResponseHead(start_line.code, headers))
 
     async def data_received(self, chunk: bytes) -> None:
-        """Pass a chunk on, and hold the connection until it is taken."""
+        """Queue a chunk; blocks reading until there is space."""
         await self.put(chunk)
 
     def finish(self) -> None:
-        """Note a complete answer."""
+        """Mark the response as complete."""
         self.ended = True
 
     def on_connection_close(self) -> None:
-        """Note nothing: an answer that did not finish is broken."""
+        """Do nothing: a response without ``finish`` counts as broken."""
 
 
 class UpstreamCall:
-    """An open call; close it in the end, which cancels what still runs."""
+    """An open call; ``close`` it when done, which cancels a running request."""
 
-    def __init__(self, stream: IOStream, silence: float) -> None:
+    def __init__(self, stream: IOStream, read_timeout: float) -> None:
         self.stream = stream
-        self.silence = silence
+        self.read_timeout = read_timeout
         self.receiver = _Receiver()
         self.reading: asyncio.Task[None] | None = None
 
     async def start(self, address: Address, request: CallRequest) -> None:
-        """Send the request and begin to read."""
+        """Send the request and start reading the response."""
         connection = HTTP1Connection(
             self.stream,
             is_client=True,
             params=HTTP1ConnectionParameters(
                 no_keep_alive=True,
-                chunk_size=_CHUNK,
-                max_body_size=_LARGEST_ANSWER,
+                chunk_size=_CHUNK_BYTES,
+                max_body_size=_MAX_RESPONSE_BYTES,
             ),
         )
         headers = HTTPHeaders(request.headers)
@@ -132,30 +132,30 @@
         connection.finish()
         self.reading = asyncio.create_task(self._read(connection))
 
-    async def head(self) -> Head:
+    async def head(self) -> ResponseHead:
         """Wait for the status and headers."""
         received = await self._next()
-        if not isinstance(received, Head):
+        if not isinstance(received, ResponseHead):
             raise UpstreamBrokenError('connection closed before an answer')
         return received
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise ``UpstreamBrokenError`` if it is cut short."""
+        """Yield the body; raise ``UpstreamBrokenError`` if it is truncated."""
         while True:
             received = await self._next()
             if isinstance(received, bytes):
                 yield received
                 continue
-            if isinstance(received, _End) and received.whole:
+            if isinstance(received, _ResponseEnd) and received.complete:
                 return
             raise UpstreamBrokenError('connection closed within the answer')
 
-    async def whole_body(self) -> bytes:
-        """Return the whole body."""
+    async def read_body(self) -> bytes:
+        """Read and return the complete body."""
         return b''.join([chunk async for chunk in self.chunks()])
 
     def close(self) -> None:
-        """Close the connection; an engine takes this for a cancellation."""
+        """Close the connection, which engines treat as a cancellation."""
         self.receiver.abandon()
         self.stream.close()
 
@@ -163,16 +163,16 @@
         try:
             await connection.read_response(self.receiver)
         except StreamClosedError:
-            await self.receiver.put(_End(whole=False))
+            await self.receiver.put(_ResponseEnd(complete=False))
             return
-        await self.receiver.put(_End(whole=self.receiver.ended))
+        await self.receiver.put(_ResponseEnd(complete=self.receiver.ended))
 
-    async def _next(self) -> Head | bytes | _End:
+    async def _next(self) -> ResponseHead | bytes | _ResponseEnd:
         try:
-            async with asyncio.timeout(self.silence):
+            async with asyncio.timeout(self.read_timeout):
                 return await self.receiver.queue.get()
         except TimeoutError as error:
-            raise UpstreamBrokenError(f'silent for {self.silence} s') from error
+            raise UpstreamBrokenError(f'silent for {self.read_timeout} s') from error
 
 
 async def open_call(address: Address, request: CallRequest) -> UpstreamCall:
@@ -181,13 +181,13 @@
     Raises
     ------
     UpstreamUnreachedError
-        No connection was made, so no byte of the request was sent.
+        The connection could not be established, so nothing was sent.
     UpstreamBrokenError
-        The connection broke while the request was sent.
+        The connection broke while the request was being sent.
     """
     stream = await _connect(address)
     stream.set_nodelay(True)
-    call = UpstreamCall(stream, request.silence)
+    call = UpstreamCall(stream, request.read_timeout)
     try:
         await call.start(address, request)
     except StreamClosedError as error:
@@ -196,15 +196,15 @@
     return call
 
 
-async def takes_connections(address: Address) -> bool:
-    """Tell whether an upstream accepts connections and goes on running."""
+async def accepts_connections(address: Address) -> bool:
+    """Return whether an upstream accepts connections and keeps running."""
     opened: list[IOStream] = []
 
     async def open_probe() -> UntilClosed | None:
         try:
             stream = await _connect(address)
         except UpstreamUnreachedError:
-            # That it could not be reached is the answer.
+            # An unreachable upstream is a result of the probe, not an error.
             return None
         opened.append(stream)
         closed = asyncio.Event()
--- /dev/null
+++ b/packages/router/src/hitchdeck_router/dispatch/quarantine.py
@@ -0,0 +1,61 @@
+"""Quarantine of requests that crash upstreams, and detection of crashes."""
+
+from functools import partial
+
+from hitchdeck_core.clock import wall_seconds
+from hitchdeck_core.ids import UpstreamIncarnation, UpstreamName
+from hitchdeck_core.quarantine.crash_detector import CrashDetector
+from hitchdeck_core.quarantine.quarantine import Quarantine
+from hitchdeck_core.quarantine.verdicts import QUARANTINE_SECONDS
+from hitchdeck_core.resources import Upstream
+from hitchdeck_router.context import RouterContext
+from hitchdeck_router.dispatch.calls import accepts_connections
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import NotRunError
+
+INCARNATION_WINDOW_SECONDS = 10
+"""Crashes of one upstream in different windows of this length count as different
+incarnations.  These upstreams don't report their start, and several routers see one
+crash within some milliseconds."""
+
+_UNAVAILABLE = 503
+
+
+def incarnation_of(name: UpstreamName) -> UpstreamIncarnation:
+    """Return an id for the incarnation of an upstream that crashes now.
+
+    It is the same at every router.  If clocks differ, one crash may be counted
+    as two incarnations, so that two crashes quarantine a request in place of
+    three.
+    """
+    return UpstreamIncarnation(
+        f'{name}@{int(wall_seconds() // INCARNATION_WINDOW_SECONDS)}'
+    )
+
+
+def crash_detector_of(quarantine: Quarantine) -> CrashDetector:
+    """Return a crash detector; schedulers learn of failures from reports instead."""
+    return CrashDetector(quarantine, on_crash=str)
+
+
+def check_not_quarantined(context: RouterContext, admitted: AdmittedRequest) -> None:
+    """Raise ``NotRunError`` for a request that has crashed upstreams."""
+    # A lethal request that was retried crashed six of six engines, at any router.
+    if context.fleet.quarantine.is_quarantined(admitted.fingerprint):
+        raise NotRunError(
+            _UNAVAILABLE,
+            'quarantined',
+            'upstreams ended under this request',
+            QUARANTINE_SECONDS,
+        )
+
+
+def check_for_crash(
+    context: RouterContext, admitted: AdmittedRequest, upstream: Upstream
+) -> None:
+    """Check whether an upstream that sent no complete response has crashed."""
+    probe = partial(accepts_connections, upstream.address)
+    incarnation = incarnation_of(UpstreamName(upstream.name))
+    context.crash_detector.record_broken_response(
+        incarnation, admitted.fingerprint, probe
+    )
--- a/packages/router/src/hitchdeck_router/dispatch/requests.py
+++ b/packages/router/src/hitchdeck_router/dispatch/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request after its checks, on its way to an upstream."""
+"""Admitted requests, and their idempotency keys and prompt prefixes."""
 
 import hashlib
 import json
@@ -12,12 +12,12 @@
 from hitchdeck_core.resources import Urgency
 from hitchdeck_core.wire.hitchdeck_pb2 import Ticket
 
-_MOST_PREFIX_BLOCKS = 8
+_MAX_PREFIX_BLOCKS = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
-    """An idempotency key; ``issued`` in Unix seconds."""
+class IdempotencyKey:
+    """An idempotency key; ``issued`` is the time of its creation in Unix seconds."""
 
     text: str
     issued: float
@@ -25,8 +25,8 @@
 
 
 @dataclass(slots=True)
-class Admitted:
-    """A request that may be scheduled.
+class AdmittedRequest:
+    """A request that passed admission and may be scheduled.
 
     Attributes
     ----------
@@ -35,13 +35,13 @@
     prefix
         Hashes of growing prefixes of the prompt, the shortest first.
     upstream
-        Where it was sent last, for the log.
+        Upstream to which it was sent last, for the log.
     has_left
-        Tells whether its caller has closed the connection, as its socket has it.
+        Returns whether the caller has closed the connection, from its socket.
     target
-        Method and path, as they were asked for.
-    content
-        What is the same in each repeat of it, whatever its id.
+        Method and path of the request.
+    fingerprint
+        Digest that is equal for each retry of the request.
     """
 
     request: RequestId
@@ -53,28 +53,28 @@
     body: bytes
     session: str = ''
     prefix: tuple[int, ...] = ()
-    key: Key | None = None
+    key: IdempotencyKey | None = None
     admitted_at: float = 0.0
     avoid: set[UpstreamName] = field(default_factory=set)
     upstream: str = ''
-    has_left: Callable[[], bool] = bool
+    has_disconnected: Callable[[], bool] = bool
     target: str = ''
-    content: Fingerprint = field(init=False)
+    fingerprint: Fingerprint = field(init=False)
 
     def __post_init__(self) -> None:
-        """Take the fingerprint of what the caller sent."""
+        """Compute the fingerprint of the request."""
         target, account = self.target.encode(), self.account.encode()
-        self.content = fingerprint_of(target, account, self.body)
+        self.fingerprint = fingerprint_of(target, account, self.body)
 
     @property
-    def class_name(self) -> str:
-        """Name of the class that histograms are kept for."""
+    def urgency_name(self) -> str:
+        """Name of the urgency, a label of histograms."""
         return self.urgency.name
 
-    def ticket(self, now: float, closed: Set[UpstreamName]) -> Ticket:
-        """Return a ticket for the scheduler; it gets its number there.
+    def ticket(self, now: float, blocked: Set[UpstreamName]) -> Ticket:
+        """Return a ticket for the scheduler; ``SlotFinder`` sets its number.
 
-        ``closed`` are the upstreams that want nothing from this router.
+        ``blocked`` are the upstreams that accept no requests from this router.
         """
         left = 0
         if self.deadline:
@@ -86,12 +86,12 @@
             cost_hint=round(self.hint),
             session=self.session,
             prefix=self.prefix,
-            avoid=sorted(closed | self.avoid),
+            avoid=sorted(blocked | self.avoid),
         )
 
 
 def body_digest(path: str, body: bytes) -> str:
-    """Return what must be equal when the same key comes again."""
+    """Return the digest that must match when a key is reused."""
     return hashlib.sha256(path.encode() + b'\0' + body).hexdigest()
 
 
@@ -99,7 +99,7 @@
     """Return a hash for each growing prefix of a conversation."""
     blocks = []
     running = model
-    for message in messages[:_MOST_PREFIX_BLOCKS]:
+    for message in messages[:_MAX_PREFIX_BLOCKS]:
         text = json.dumps(message, sort_keys=True)
         running = str(stable_hash(running, text))
         blocks.append(int(running))
--- a/packages/router/src/hitchdeck_router/dispatch/services.py
+++ b/packages/router/src/hitchdeck_router/dispatch/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, passed through byte for byte."""
+"""Calls to plain services, whose responses are forwarded unchanged."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -8,24 +8,24 @@
 from hitchdeck_core.resources import Upstream
 from hitchdeck_router.context import RouterContext
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
+from hitchdeck_router.dispatch.backpressure import apply_backpressure
 from hitchdeck_router.dispatch.calls import (
     CallRequest,
-    Head,
+    ResponseHead,
     UpstreamCall,
     open_call,
 )
-from hitchdeck_router.dispatch.chat import REQUEST_ID_HEADER, check_own
-from hitchdeck_router.dispatch.ends import doubt
-from hitchdeck_router.dispatch.pauses import heed
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import AnswerCutError, UpstreamBrokenError
-from hitchdeck_router.scheduling.costs import SERVICE_CALL
-from hitchdeck_router.scheduling.holding import Slot
+from hitchdeck_router.dispatch.chat import REQUEST_ID_HEADER, check_request_id
+from hitchdeck_router.dispatch.quarantine import check_for_crash
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import ResponseTruncatedError, UpstreamBrokenError
+from hitchdeck_router.scheduling.client_state import Slot
+from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 
 
 @dataclass(slots=True)
 class ServiceRequest:
-    """What goes to the service: method, path with query, headers."""
+    """A request to a service: method, path with query, headers."""
 
     method: str
     path: str
@@ -34,38 +34,39 @@
 
 
 @dataclass(slots=True)
-class ServiceAnswer:
-    """The service's answer; the body only as far as it is kept."""
+class ServiceResponse:
+    """A service's response; the body only up to the size that is stored."""
 
     status: int = 0
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
     body: bytearray = field(default_factory=bytearray)
 
 
-DeliverHead = Callable[[Head], Awaitable[None]]
+DeliverHead = Callable[[ResponseHead], Awaitable[None]]
 DeliverBytes = Callable[[bytes], Awaitable[None]]
 
 
 async def run_service(
     context: RouterContext,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     request: ServiceRequest,
     deliver_head: DeliverHead,
     deliver_bytes: DeliverBytes,
 ) -> None:
-    """Run a service call to its end.
+    """Run a service call to completion.
 
     Raises
     ------
     RouterError
-        With what is known of the run; nothing was delivered.
-    AnswerCutError
-        The answer broke off after its head had been delivered.
+        The run failed before anything was delivered; the error says whether it
+        may have run.
+    ResponseTruncatedError
+        The response broke after its head was delivered.
     """
     progress = Progress(repeatable=request.repeatable and admitted.key is None)
 
     async def run_once(grant: Slot, upstream: Upstream) -> None:
-        grant.spend(SERVICE_CALL)
+        grant.record_cost(SERVICE_CALL_COST)
         call = await open_call(
             upstream.address,
             CallRequest(
@@ -77,12 +78,12 @@
         )
         try:
             head = await call.head()
-            check_own(head, admitted)
-            heed(context, upstream, head)
+            check_request_id(head, admitted)
+            apply_backpressure(context, upstream, head)
             await deliver_head(head)
-            await _pass_body(call, deliver_bytes)
-        except AnswerCutError:
-            doubt(context, admitted, upstream)
+            await _forward_body(call, deliver_bytes)
+        except ResponseTruncatedError:
+            check_for_crash(context, admitted, upstream)
             raise
         finally:
             call.close()
@@ -90,9 +91,9 @@
     await run_attempts(context, admitted, progress, run_once)
 
 
-async def _pass_body(call: UpstreamCall, deliver_bytes: DeliverBytes) -> None:
+async def _forward_body(call: UpstreamCall, deliver_bytes: DeliverBytes) -> None:
     try:
         async for chunk in call.chunks():
             await deliver_bytes(chunk)
     except UpstreamBrokenError as error:
-        raise AnswerCutError(str(error)) from error
+        raise ResponseTruncatedError(str(error)) from error
--- a/packages/router/src/hitchdeck_router/scheduling/queueing.py
+++ b/packages/router/src/hitchdeck_router/scheduling/queueing.py
@@ -1,4 +1,4 @@
-"""Waiting tickets of one account: urgency first, then the nearest deadline."""
+"""Per-account queue of tickets, ordered by urgency, then by deadline."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -7,17 +7,26 @@
 from hitchdeck_core.resources import Urgency
 
 TicketKey = tuple[Incarnation, TicketId]
-"""A ticket's identity in a shard: the router life and its number there."""
+"""Identifies a ticket in a shard: router incarnation and ticket number."""
 
-_ESCALATION_SLACK = 30.0
-"""Seconds before its deadline at which any ticket becomes urgent."""
+_ESCALATION_SECONDS = 30.0
+"""Time before its deadline at which any ticket becomes urgent."""
 
 
 @dataclass(slots=True)
 class WaitingTicket:
-    """A ticket that waits; times on the scheduler's clock, in seconds.
-
-    ``deadline`` is infinite for a request without one.
+    """A waiting ticket; times in seconds on the scheduler's clock.
+
+    Attributes
+    ----------
+    deadline
+        Infinite for a request without a deadline.
+    hint
+        Estimated cost, in cost units.
+    prefix
+        Hashes of growing prefixes of the prompt.
+    avoid
+        Upstreams that this request should not go to.
     """
 
     key: TicketKey
@@ -29,25 +38,25 @@
     session: str = ''
     prefix: tuple[int, ...] = ()
     avoid: frozenset[UpstreamName] = frozenset()
-    gone: bool = False
+    cancelled: bool = False
 
     @property
-    def attendant(self) -> Incarnation:
-        """The router life that waits for the grant."""
+    def incarnation(self) -> Incarnation:
+        """Incarnation of the router that submitted the ticket."""
         return self.key[0]
 
     def urgency_at(self, now: float) -> Urgency:
-        """Return the urgency, which rises as the deadline comes near."""
-        if self.deadline - now < _ESCALATION_SLACK:
+        """Return the urgency, which is raised shortly before the deadline."""
+        if self.deadline - now < _ESCALATION_SECONDS:
             return Urgency.urgent
         return self.urgency
 
 
 @dataclass(slots=True)
 class AccountQueue:
-    """One account's tickets: a heap for each urgency.
+    """Tickets of one account, in a heap for each urgency.
 
-    Cancelled tickets stay in their heap, marked, until they surface.
+    Cancelled tickets are only marked, and removed when they reach the top.
     """
 
     heaps: dict[Urgency, list[tuple[float, float, TicketKey, WaitingTicket]]] = field(
@@ -62,7 +71,7 @@
         self.length += 1
 
     def head(self, now: float) -> WaitingTicket | None:
-        """Return the ticket to serve next."""
+        """Return the next ticket to serve, ``None`` if the queue is empty."""
         heads = [
             ticket for urgency in Urgency if (ticket := self._top(urgency)) is not None
         ]
@@ -72,19 +81,19 @@
             default=None,
         )
 
-    def longest_waiting(self) -> float:
-        """Return since when the oldest head waits, infinite if none does."""
+    def oldest_since(self) -> float:
+        """Return the earliest arrival among the heaps' heads, infinite if empty."""
         tops = (self._top(urgency) for urgency in Urgency)
         return min((one.since for one in tops if one), default=float('inf'))
 
     def remove(self, ticket: WaitingTicket) -> None:
-        """Take a ticket out, wherever it stands."""
-        if not ticket.gone:
-            ticket.gone = True
+        """Mark a ticket as cancelled."""
+        if not ticket.cancelled:
+            ticket.cancelled = True
             self.length -= 1
 
     def _top(self, urgency: Urgency) -> WaitingTicket | None:
         heap = self.heaps[urgency]
-        while heap and heap[0][-1].gone:
+        while heap and heap[0][-1].cancelled:
             heapq.heappop(heap)
         return heap[0][-1] if heap else None
--- a/packages/router/src/hitchdeck_router/scheduling/slots.py
+++ b/packages/router/src/hitchdeck_router/scheduling/slots.py
@@ -1,4 +1,4 @@
-"""Getting a slot in a pool: which shard to ask, and when to ask another."""
+"""Acquires slots in a pool: chooses a shard, and moves tickets between shards."""
 
 import asyncio
 from collections.abc import Iterator
@@ -17,24 +17,31 @@
 from hitchdeck_router.errors import NotRunError
 from hitchdeck_router.fleet.link import Fleet
 from hitchdeck_router.scheduling.client import ShardClient
-from hitchdeck_router.scheduling.holding import PendingTicket, Slot
+from hitchdeck_router.scheduling.client_state import PendingTicket, Slot
 
-_ATTENDED_SHARDS = 4
-"""How many shards of a pool one router deals with: enough choice to find a
-free slot, few enough that connections grow with routers, not with their
-product with shards."""
+_SHARDS_PER_ROUTER = 4
+"""Maximum number of shards of a pool to which a router connects: enough to find a
+free slot, and few enough that the number of connections grows with the routers and
+not with the product of routers and shards."""
 
-_MOVE_PERIOD = 0.1
-_IDLE_PERIOD = 1.0
+_REBALANCE_PERIOD_SECONDS = 0.1
+_IDLE_PERIOD_SECONDS = 1.0
 _UNAVAILABLE = 503
-_NO_SCHEDULER_PATIENCE = 10.0
-"""Seconds; a frozen scheduler is replaced when its lease of 3 s has run out,
-so that a shorter patience would refuse what is about to be served."""
-_RETRY_AFTER = 1.0
+_NO_SCHEDULER_TIMEOUT_SECONDS = 10.0
+"""Time without a reachable scheduler after which tickets are refused.  A frozen
+scheduler is replaced once its lease of 3 s has expired, so that a shorter timeout
+would refuse tickets that are about to be served."""
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class SlotFinder:
-    """All shard clients of a router."""
+    """Acquires slots through the shard clients of a router.
+
+    Attributes
+    ----------
+    reported_sums
+        Cost sums by shard and account, as last reported to the leader.
+    """
 
     def __init__(
         self,
@@ -50,13 +57,13 @@
         self.fleet_token = fleet_token
         self.supervisor = supervisor
         self.clients: dict[ShardId, ShardClient] = {}
-        self.told: dict[tuple[ShardId, str], int] = {}
+        self.reported_sums: dict[tuple[ShardId, str], int] = {}
         self.last_ticket = 0
 
     async def acquire(self, pool: PoolName, ticket: Ticket) -> Slot:
         """Wait for a slot in a pool.
 
-        Cancelling the wait withdraws the ticket.
+        Cancelling this call cancels the ticket.
 
         Raises
         ------
@@ -75,37 +82,39 @@
         try:
             return await pending.granted
         except BaseException:
-            self._give_up(pending)
+            self._cancel(pending)
             raise
 
     async def rebalance(self) -> None:
-        """Move tickets that wait to shards that are idle; for ever."""
+        """Move waiting tickets to idle shards; never returns."""
         while True:
             several = len(self.clients) > 1
-            await asyncio.sleep(_MOVE_PERIOD if several else _IDLE_PERIOD)
+            await asyncio.sleep(
+                _REBALANCE_PERIOD_SECONDS if several else _IDLE_PERIOD_SECONDS
+            )
             for client in list(self.clients.values()):
                 if client.waiting:
-                    self._relieve(client)
+                    self._move_waiting(client)
 
-    def usage_to_tell(self) -> list[UsageSum]:
-        """Return the sums that have grown since they were last told."""
-        grown = []
+    def unreported_usage(self) -> list[UsageSum]:
+        """Return the cost sums that have grown since the last report."""
+        unreported = []
         for shard, client in self.clients.items():
             for account, cost in client.sums.items():
-                if self.told.get((shard, account), 0) < cost:
-                    self.told[shard, account] = cost
-                    grown.append(UsageSum(shard=shard, account=account, cost=cost))
-        return grown
+                if self.reported_sums.get((shard, account), 0) < cost:
+                    self.reported_sums[shard, account] = cost
+                    unreported.append(UsageSum(shard=shard, account=account, cost=cost))
+        return unreported
 
-    def forget_told(self) -> None:
-        """Tell everything again: a new leader knows none of it."""
-        self.told.clear()
+    def reset_reported_usage(self) -> None:
+        """Report all sums again, as a new leader has none of them."""
+        self.reported_sums.clear()
 
     def _best_client(self, pool: PoolName, ticket: Ticket) -> ShardClient:
         clients = list(self._clients_of(pool))
         assert clients, 'a pool has at least one shard'
         if ticket.session:
-            # Sessions keep to one shard, so that its cache record knows them.
+            # A session stays on one shard, whose cache index contains it.
             shards = {client.shard: client for client in clients}
             return shards[ShardId(ranked(ticket.session, shards)[0])]
         return min(
@@ -118,8 +127,8 @@
             ),
         )
 
-    def _give_up(self, pending: PendingTicket) -> None:
-        """Withdraw a ticket; its grant may have arrived at this moment."""
+    def _cancel(self, pending: PendingTicket) -> None:
+        """Cancel a ticket, and release the slot if it was granted meanwhile."""
         assert pending.client is not None
         number = TicketId(pending.ticket.id)
         pending.client.withdraw(number)
@@ -127,10 +136,10 @@
         if slot is not None:
             slot.release()
 
-    def _relieve(self, client: ShardClient) -> None:
-        """Move a waiting ticket away from a busy or lost shard, if possible.
+    def _move_waiting(self, client: ShardClient) -> None:
+        """Move a waiting ticket from a busy or unreachable shard, if possible.
 
-        One at a time: that a shard is idle is old news already.
+        One ticket per target shard, as its idle state may be stale.
         """
         pool = pool_of(client.shard)
         if not client.connected:
@@ -138,7 +147,7 @@
         if client.connected and client.serves and not client.busy:
             return
         for other in self._clients_of(pool):
-            if other is not client and client.waiting and _may_take(client, other):
+            if other is not client and client.waiting and _is_better(client, other):
                 pending = next(iter(client.waiting.values()))
                 client.withdraw(TicketId(pending.ticket.id))
                 other.idle = False
@@ -148,7 +157,7 @@
         definition = self.fleet.view.pools.get(pool)
         count = definition.shards if definition else 1
         shards = [shard_id(pool, number) for number in range(count)]
-        for shard in ranked(self.box, shards)[:_ATTENDED_SHARDS]:
+        for shard in ranked(self.box, shards)[:_SHARDS_PER_ROUTER]:
             yield self._client(ShardId(shard))
 
     def _client(self, shard: ShardId) -> ShardClient:
@@ -168,18 +177,18 @@
             return
         now = self.fleet.now()
         for number, pending in list(client.waiting.items()):
-            if now - pending.since < _NO_SCHEDULER_PATIENCE:
+            if now - pending.since < _NO_SCHEDULER_TIMEOUT_SECONDS:
                 continue
             client.withdraw(number)
             if not pending.granted.done():
                 pending.granted.set_exception(_no_scheduler(pool))
 
 
-def _may_take(client: ShardClient, other: ShardClient) -> bool:
-    """Tell whether a ticket is better off at another shard.
+def _is_better(client: ShardClient, other: ShardClient) -> bool:
+    """Return whether a ticket should move to another shard.
 
     A shard without upstreams (all are leaving, or there are fewer upstreams
-    than shards) will never serve it, so any that does is better.
+    than shards) never serves it, so any shard with upstreams is better.
     """
     if not client.serves:
         return other.connected and other.serves
@@ -191,5 +200,5 @@
         _UNAVAILABLE,
         'no-scheduler',
         f'no scheduler of pool {pool} can be reached',
-        _RETRY_AFTER,
+        _RETRY_AFTER_SECONDS,
     )
--- a/packages/router/src/hitchdeck_router/serving/base.py
+++ b/packages/router/src/hitchdeck_router/serving/base.py
@@ -1,4 +1,4 @@
-"""What all doors share: bodies, keys, errors, callers that go away."""
+"""Base of the HTTP handlers: bodies, account keys, errors and disconnects."""
 
 import asyncio
 import json
@@ -13,10 +13,10 @@
 from hitchdeck_core import logs
 from hitchdeck_core.hashing import token_hash
 from hitchdeck_core.ids import AccountName, RequestId
-from hitchdeck_core.sockets import has_ended
+from hitchdeck_core.sockets import peer_has_closed
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import CallerLeftError, NotRunError, RouterError
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import CallerDisconnectedError, NotRunError, RouterError
 
 RAN_HEADER = 'Hitchdeck-Ran'
 REQUEST_HEADER = 'Hitchdeck-Request-Id'
@@ -27,35 +27,37 @@
 _UNAVAILABLE = 503
 _INTERNAL_ERROR = 500
 _ID_BYTES = 12
-_MOST_DISCARDED = 16_777_216
-"""Bytes that are read of a body whose refusal was sent, so that its caller gets to
-the answer: a close with unread bytes resets the connection, and a caller that still
-sends then reads nothing."""
-_RETRY_AFTER = 1.0
+_MAX_DISCARDED_BYTES = 16_777_216
+"""Maximum number of bytes read from a body after its refusal was sent.  Closing a
+connection with unread bytes resets it, so that a caller that is still sending would not
+receive the response."""
+_RETRY_AFTER_SECONDS = 1.0
 
 
 @stream_request_body
-class Door(RequestHandler):
+class BaseHandler(RequestHandler):
     """Base of the handlers.
 
-    The body is taken in as it comes, so that one that is too large is
-    refused before it is read.  What comes of it after that is thrown away.
+    The body is received in chunks, so that one that is too large is refused
+    before it is read completely.  The rest of a refused body is discarded.
+
+    The names of subclasses are written out as labels of metrics.
     """
 
     def initialize(self, context: RouterContext) -> None:
-        """Take the router's context."""
+        """Set the router's context and the state of the request."""
         self.context = context
-        self.received = bytearray()
+        self.body_buffer = bytearray()
         self.too_large = False
         self.discarded = 0
         self.request_id = RequestId(secrets.token_hex(_ID_BYTES))
         self.work: asyncio.Future[None] | None = None
-        self.gone = False
+        self.disconnected = False
         self.account = AccountName('')
-        self.admitted: Admitted | None = None
+        self.admitted: AdmittedRequest | None = None
 
     def prepare(self) -> None:
-        """Refuse a body whose announced length is too large."""
+        """Refuse a body whose ``Content-Length`` is too large."""
         self.set_header(REQUEST_HEADER, self.request_id)
         announced = self.request.headers.get('Content-Length', '0')
         if announced.isdigit() and int(announced) > self.context.settings.body_limit:
@@ -63,63 +65,63 @@
             self._refuse_early(self._too_large())
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in a part of the body."""
+        """Receive a chunk of the body."""
         if self._headers_written:
             self._discard(chunk)
             return
-        if len(self.received) + len(chunk) > self.context.settings.body_limit:
+        if len(self.body_buffer) + len(chunk) > self.context.settings.body_limit:
             self.too_large = True
             return
-        self.received += chunk
+        self.body_buffer += chunk
 
     def on_connection_close(self) -> None:
-        """Stop the work for a caller who went away."""
-        self.gone = True
+        """Cancel the request of a caller that disconnected."""
+        self.disconnected = True
         if self.work is not None:
             self.work.cancel()
 
-    def has_left(self) -> bool:
-        """Tell whether the caller has closed, by what its socket holds now."""
+    def has_disconnected(self) -> bool:
+        """Return whether the caller has disconnected, by checking its socket."""
         connection = self.request.connection
-        if self.gone or not isinstance(connection, HTTP1Connection):
-            return self.gone
+        if self.disconnected or not isinstance(connection, HTTP1Connection):
+            return self.disconnected
         stream = connection.stream
-        return stream.closed() or has_ended(stream.socket)
+        return stream.closed() or peer_has_closed(stream.socket)
 
     async def run(self, work: Awaitable[None]) -> None:
-        """Do the work of a request, and turn its errors into answers."""
+        """Run a request, and turn its errors into error responses."""
         if self._headers_written:
-            # The request was refused before its body had come.
+            # The request was refused before its body had arrived.
             self.finish()
             return
         self.context.active += 1
         self.work = asyncio.ensure_future(work)
         try:
             await self.work
-        except (asyncio.CancelledError, StreamClosedError, CallerLeftError):
-            self.note_outcome('caller-gone')
+        except (asyncio.CancelledError, StreamClosedError, CallerDisconnectedError):
+            self.record_outcome('caller-gone')
         except RouterError as error:
             self.refuse(error)
         except Exception as error:
             logs.failure('request failed', error, request=self.request_id)
-            self.fail_inside()
+            self.respond_internal_error()
         finally:
             self.context.active -= 1
 
     def check_body(self) -> bytes:
-        """Return the body, or raise ``NotRunError`` if it was too large."""
+        """Return the body; raise ``NotRunError`` if it was too large."""
         if self.too_large:
             raise self._too_large()
-        return bytes(self.received)
+        return bytes(self.body_buffer)
 
     def check_account(self) -> AccountName:
-        """Return the account whose key the caller shows.
+        """Return the account of the key in the ``Authorization`` header.
 
         Raises
         ------
         NotRunError
-            There is no such key, or this router's configuration is not
-            known to be in force, so that no key can be judged.
+            There is no such key, or this router's configuration lease has
+            expired, so that keys can't be checked.
         """
         self.check_configured()
         shown = self.request.headers.get('Authorization', '')
@@ -132,18 +134,18 @@
         return account
 
     def check_configured(self) -> None:
-        """Raise ``NotRunError`` unless the configuration is in force."""
+        """Raise ``NotRunError`` unless the configuration lease is valid."""
         if not self.context.fleet.lease.is_live():
             raise NotRunError(
                 _UNAVAILABLE,
                 'no-configuration-lease',
                 'this router is cut off from the control group',
-                _RETRY_AFTER,
+                _RETRY_AFTER_SECONDS,
             )
 
     def refuse(self, error: RouterError) -> None:
-        """Answer with an error, as the API's clients expect it."""
-        self.note_outcome(error.ran)
+        """Send an error in the API's format, also within a started stream."""
+        self.record_outcome(error.ran)
         if self._finished:
             return
         content = error_content(error)
@@ -151,21 +153,21 @@
             self.write(b'data: ' + json.dumps(content).encode() + b'\n\n')
             self.finish()
             return
-        self._set_head(error)
+        self._set_error_headers(error)
         self.finish(content)
 
-    def fail_inside(self) -> None:
-        """Answer that this router itself failed; it can't say how far."""
+    def respond_internal_error(self) -> None:
+        """Send an internal error, for which the outcome is unknown."""
         error = RouterError(_INTERNAL_ERROR, 'internal', 'the router failed')
         error.ran = 'unknown'
         self.refuse(error)
 
-    def note_outcome(self, ran: str) -> None:
-        """Count how a request ended."""
+    def record_outcome(self, ran: str) -> None:
+        """Count the outcome of a request."""
         self.context.outcomes[type(self).__name__, ran] += 1
 
     def write_error(self, status_code: int, **_: Any) -> None:
-        """Answer what tornado itself refuses, in the same shape."""
+        """Send errors that tornado itself detects in the API's format."""
         self.finish(
             error_content(
                 NotRunError(status_code, 'bad-request', self._reason),
@@ -173,12 +175,12 @@
         )
 
     def log_exception(self, *_: Any) -> None:
-        """Leave the logging to ``run``."""
+        """Log nothing, as ``run`` logs errors."""
 
     def _refuse_early(self, error: RouterError) -> None:
-        """Answer now, and end the answer when the whole body has come."""
-        self.note_outcome(error.ran)
-        self._set_head(error)
+        """Send the error now; the response is finished after the complete body."""
+        self.record_outcome(error.ran)
+        self._set_error_headers(error)
         content = json.dumps(error_content(error)).encode()
         self.set_header('Content-Type', 'application/json')
         self.set_header('Content-Length', str(len(content)))
@@ -187,10 +189,10 @@
 
     def _discard(self, chunk: bytes) -> None:
         self.discarded += len(chunk)
-        if self.discarded > _MOST_DISCARDED:
+        if self.discarded > _MAX_DISCARDED_BYTES:
             self.request.connection.close()  # type: ignore[union-attr]
 
-    def _set_head(self, error: RouterError) -> None:
+    def _set_error_headers(self, error: RouterError) -> None:
         self.set_status(error.status)
         self.set_header(RAN_HEADER, error.ran)
         if error.retry_after is not None:
@@ -204,7 +206,7 @@
 
 
 def error_content(error: RouterError) -> dict[str, Any]:
-    """Return the error object of the OpenAI API, with what ran."""
+    """Return the error object of the OpenAI API, with the field ``ran``."""
     return {
         'error': {
             'message': error.reason,
@@ -217,8 +219,8 @@
 
 
 def log_request(handler: RequestHandler) -> None:
-    """Log one request as tornado finishes it."""
-    if not isinstance(handler, Door):
+    """Log a finished request."""
+    if not isinstance(handler, BaseHandler):
         return
     logs.info(
         'request',
--- a/packages/router/src/hitchdeck_router/serving/replay.py
+++ b/packages/router/src/hitchdeck_router/serving/replay.py
@@ -1,36 +1,36 @@
-"""Answers that the ledger kept."""
+"""Replay of responses stored in the ledger."""
 
-from hitchdeck_router.dispatch.ledger import KeptAnswer, Ran
+from hitchdeck_router.dispatch.ledger import RunStatus, StoredResponse
 from hitchdeck_router.errors import OutcomeUnknownError, RouterError
 
 _CONFLICT = 409
 _GONE = 410
 
 
-class AnswerNotKeptError(RouterError):
-    """Raised when a request ran, but its answer was too large to keep."""
+class ResponseNotStoredError(RouterError):
+    """Raised when a request has run, but its response was too large to store."""
 
     ran = 'ran'
 
 
-def check_replayable(kept: KeptAnswer) -> None:
-    """Raise the error that stands in the place of a kept answer, if any.
+def check_replayable(stored: StoredResponse) -> None:
+    """Raise an error if a stored outcome has no response to replay.
 
     Raises
     ------
     OutcomeUnknownError
-        The earlier run ended without anybody knowing how.
-    AnswerNotKeptError
-        It ran, and its answer is gone.
+        The outcome of the earlier run is unknown.
+    ResponseNotStoredError
+        The request has run, and its response was not stored.
     """
-    if kept.ran is not Ran.ran:
+    if stored.ran is not RunStatus.ran:
         raise OutcomeUnknownError(
             _CONFLICT,
             'outcome-unknown',
             'a request with this key was sent on; how it ended is not known',
         )
-    if not kept.body and kept.content_type:
-        raise AnswerNotKeptError(
+    if not stored.body and stored.content_type:
+        raise ResponseNotStoredError(
             _GONE,
             'answer-not-kept',
             'the request ran; its answer was too large to keep',
--- a/packages/router/src/hitchdeck_router/serving/services.py
+++ b/packages/router/src/hitchdeck_router/serving/services.py
@@ -6,54 +6,54 @@
 
 from hitchdeck_core.ids import AccountName, PoolName
 from hitchdeck_router.dispatch.attempts import ReplayError
-from hitchdeck_router.dispatch.calls import Head
+from hitchdeck_router.dispatch.calls import ResponseHead
 from hitchdeck_router.dispatch.ledger import (
-    LARGEST_KEPT_ANSWER,
-    KeptAnswer,
-    Ran,
+    MAX_STORED_RESPONSE_BYTES,
+    RunStatus,
+    StoredResponse,
 )
-from hitchdeck_router.dispatch.requests import Admitted
+from hitchdeck_router.dispatch.requests import AdmittedRequest
 from hitchdeck_router.dispatch.services import (
-    ServiceAnswer,
     ServiceRequest,
+    ServiceResponse,
     run_service,
 )
-from hitchdeck_router.errors import AnswerCutError, NotRunError
-from hitchdeck_router.scheduling.costs import SERVICE_CALL
+from hitchdeck_router.errors import NotRunError, ResponseTruncatedError
+from hitchdeck_router.scheduling.costs import SERVICE_CALL_COST
 from hitchdeck_router.serving import admission
-from hitchdeck_router.serving.base import RAN_HEADER, Door
+from hitchdeck_router.serving.base import RAN_HEADER, BaseHandler
 from hitchdeck_router.serving.replay import check_replayable
 
 _BAD_REQUEST = 400
-_READS = frozenset(('GET', 'HEAD'))
-_PASSED_REQUEST_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
-_PASSED_ANSWER_HEADERS = (
+_SAFE_METHODS = frozenset(('GET', 'HEAD'))
+_FORWARDED_REQUEST_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
+_FORWARDED_RESPONSE_HEADERS = (
     'Content-Type',
     'Location',
     'ETag',
     'Last-Modified',
     'Retry-After',
 )
-_BODILESS = frozenset((204, 304))
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
-class ServiceDoor(Door):
-    """Calls to plain services."""
+class ServiceDoor(BaseHandler):
+    """Handler of calls to plain services."""
 
     async def get(self, pool: str, path: str) -> None:
-        """Serve a read."""
+        """Serve a call with a safe method."""
         await self.run(self._serve(pool, path))
 
     async def post(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def put(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def delete(self, pool: str, path: str) -> None:
-        """Serve a call that may change something."""
+        """Serve a call that may have side effects."""
         await self.run(self._serve(pool, path))
 
     async def _serve(self, pool: str, path: str) -> None:
@@ -68,19 +68,19 @@
             if admitted.key is None:
                 await self._run(admitted, request)
             else:
-                # As with chat, a claimed run goes on without its caller.
+                # As for chat, a claimed run continues after its caller disconnects.
                 running = asyncio.ensure_future(self._run(admitted, request))
                 await asyncio.shield(running)
         except ReplayError as error:
-            await self._replay(error.answer)
-        except AnswerCutError:
-            self._cut()
+            await self._replay(error.response)
+        except ResponseTruncatedError:
+            self._abort()
 
-    def _admit(self, account: AccountName, pool: PoolName) -> Admitted:
+    def _admit(self, account: AccountName, pool: PoolName) -> AdmittedRequest:
         view = self.context.fleet.view
         headers = self.request.headers
         body = self.check_body()
-        return Admitted(
+        return AdmittedRequest(
             request=self.request_id,
             account=account,
             pool=pool,
@@ -91,42 +91,42 @@
                 headers,
             ),
             deadline=admission.check_deadline(headers),
-            hint=SERVICE_CALL,
+            hint=SERVICE_CALL_COST,
             body=body,
             session=admission.check_session(view, account, pool, headers),
             key=admission.check_key(headers, self.request.uri or '', body),
             admitted_at=self.context.fleet.now(),
-            has_left=self.has_left,
+            has_disconnected=self.has_disconnected,
             target=f'{self.request.method} {self.request.uri}',
         )
 
     def _repeatable(self, pool: PoolName) -> bool:
-        if self.request.method in _READS:
+        if self.request.method in _SAFE_METHODS:
             return True
         return self.context.fleet.view.pools[pool].repeatable
 
     def _service_request(self, path: str, *, repeatable: bool) -> ServiceRequest:
         headers = {
             name: self.request.headers[name]
-            for name in _PASSED_REQUEST_HEADERS
+            for name in _FORWARDED_REQUEST_HEADERS
             if name in self.request.headers
         }
         query = f'?{self.request.query}' if self.request.query else ''
         method = self.request.method or 'GET'
         return ServiceRequest(method, f'/{path}{query}', headers, repeatable)
 
-    async def _run(self, admitted: Admitted, request: ServiceRequest) -> None:
-        answer = ServiceAnswer()
+    async def _run(self, admitted: AdmittedRequest, request: ServiceRequest) -> None:
+        response = ServiceResponse()
 
-        async def deliver_head(head: Head) -> None:
-            answer.status = head.status
-            answer.headers = head.headers
+        async def deliver_head(head: ResponseHead) -> None:
+            response.status = head.status
+            response.headers = head.headers
             self._copy_head(head)
 
         async def deliver_bytes(chunk: bytes) -> None:
-            if len(answer.body) <= LARGEST_KEPT_ANSWER:
-                answer.body += chunk
-            await self._pass_on(chunk, claimed=admitted.key is not None)
+            if len(response.body) <= MAX_STORED_RESPONSE_BYTES:
+                response.body += chunk
+            await self._forward_chunk(chunk, claimed=admitted.key is not None)
 
         await run_service(
             self.context,
@@ -135,54 +135,54 @@
             deliver_head,
             deliver_bytes,
         )
-        self.note_outcome('ran')
+        self.record_outcome('ran')
         if admitted.key is not None:
-            kept = KeptAnswer(
-                Ran.ran,
-                answer.status,
-                answer.headers.get('Content-Type', ''),
-                bytes(answer.body),
+            stored = StoredResponse(
+                RunStatus.ran,
+                response.status,
+                response.headers.get('Content-Type', ''),
+                bytes(response.body),
             )
-            self.context.ledger.settle(admitted, admitted.key, kept)
-        if not self.gone:
+            self.context.ledger.settle(admitted, admitted.key, stored)
+        if not self.disconnected:
             await self.finish()
 
-    def _copy_head(self, head: Head) -> None:
+    def _copy_head(self, head: ResponseHead) -> None:
         self.set_status(head.status)
         self.set_header(RAN_HEADER, 'ran')
-        for name in _PASSED_ANSWER_HEADERS:
+        for name in _FORWARDED_RESPONSE_HEADERS:
             if name in head.headers:
                 self.set_header(name, head.headers[name])
 
-    async def _pass_on(self, chunk: bytes, *, claimed: bool) -> None:
-        if self.gone:
+    async def _forward_chunk(self, chunk: bytes, *, claimed: bool) -> None:
+        if self.disconnected:
             return
         try:
             self.write(chunk)
             await self.flush()
         except StreamClosedError:
-            self.gone = True
+            self.disconnected = True
             if not claimed:
                 raise
 
-    async def _replay(self, kept: KeptAnswer) -> None:
-        check_replayable(kept)
-        self.note_outcome('replayed')
-        self.set_status(kept.status)
+    async def _replay(self, stored: StoredResponse) -> None:
+        check_replayable(stored)
+        self.record_outcome('replayed')
+        self.set_status(stored.status)
         self.set_header(RAN_HEADER, 'ran')
-        if kept.status not in _BODILESS:
-            self.set_header('Content-Type', kept.content_type)
-            self.write(kept.body)
+        if stored.status not in _BODILESS_STATUSES:
+            self.set_header('Content-Type', stored.content_type)
+            self.write(stored.body)
         await self.finish()
 
-    def _cut(self) -> None:
-        """Close the connection: a cut answer must not read as a whole one."""
-        self.note_outcome('unknown')
+    def _abort(self) -> None:
+        """Close the connection, as the truncated response must not look complete."""
+        self.record_outcome('unknown')
         if self.request.connection is not None:
             self.request.connection.stream.close()  # type: ignore[attr-defined]
 
 
-def _check_has_key(admitted: Admitted, request: ServiceRequest) -> None:
+def _check_has_key(admitted: AdmittedRequest, request: ServiceRequest) -> None:
     if request.repeatable or admitted.key is not None:
         return
     raise NotRunError(
--- a/packages/router/src/hitchdeck_router/serving/status.py
+++ b/packages/router/src/hitchdeck_router/serving/status.py
@@ -4,18 +4,18 @@
 from collections.abc import Iterator
 
 from hitchdeck_router.context import RouterContext
-from hitchdeck_router.serving.base import Door
+from hitchdeck_router.serving.base import BaseHandler
 
 _OK = 200
 _UNAVAILABLE = 503
 _CLASS_LABELS = ('account', 'class')
 
 
-class HealthDoor(Door):
-    """Whether new callers should come here."""
+class HealthDoor(BaseHandler):
+    """Handler of ``/healthz``: whether new callers should use this router."""
 
     def get(self) -> None:
-        """Answer 200 while this router admits and stays."""
+        """Respond with 200 if the router admits requests and is not draining."""
         live = self.context.fleet.lease.is_live()
         healthy = live and not self.context.leaving
         self.set_status(_OK if healthy else _UNAVAILABLE)
@@ -30,17 +30,17 @@
         )
 
 
-class MetricsDoor(Door):
-    """Metrics in the Prometheus text format."""
+class MetricsDoor(BaseHandler):
+    """Handler of ``/metrics``, in the Prometheus text format."""
 
     def get(self) -> None:
-        """Answer with every metric of this process."""
+        """Return all metrics of this process."""
         self.set_header('Content-Type', 'text/plain; version=0.0.4')
         self.finish('\n'.join([*metric_lines(self.context), '']))
 
 
 def metric_lines(context: RouterContext) -> Iterator[str]:
-    """Yield the lines of the metrics page."""
+    """Yield the lines of the metrics."""
     yield from _histogram_lines(context)
     for (door, ran), count in sorted(context.outcomes.items()):
         yield _line('requests_total', count, door=door, outcome=ran)
@@ -72,7 +72,7 @@
         counters = scheduler.counters
         yield _line('shard_service_gap', scheduler.service_gap(), shard=shard)
         yield _line('shard_gap_bound', scheduler.gap_bound(), shard=shard)
-        yield _line('shard_free_slots', scheduler.rooms.free_slots(), shard=shard)
+        yield _line('shard_free_slots', scheduler.capacity.free_slots(), shard=shard)
         yield _line('shard_held_slots', len(scheduler.held), shard=shard)
         yield _line('shard_waiting', len(scheduler.tickets), shard=shard)
         yield _line('shard_granted_total', counters.granted, shard=shard)
--- a/tests/common/group.py
+++ b/tests/common/group.py
@@ -1,4 +1,4 @@
-"""A control group in one process: real replicas, fake links that can be cut."""
+"""A Raft group in one process: real replicas on fake links that can be cut."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,11 +7,16 @@
 from typing import cast
 
 from hitchdeck_control.errors import NotLeaderError, OutcomeUnknownError
-from hitchdeck_control.machine.machine import Machine, first_command
+from hitchdeck_control.machine.state_machine import StateMachine, first_command
 from hitchdeck_control.raft import membership, replication
-from hitchdeck_control.raft.election import answer_vote, watch_leader
-from hitchdeck_control.raft.links import Links
-from hitchdeck_control.raft.replica import Machinery, Replica, Self, Timing
+from hitchdeck_control.raft.election import handle_vote, run_elections
+from hitchdeck_control.raft.peer_client import PeerClient
+from hitchdeck_control.raft.replica import (
+    Replica,
+    ReplicaIdentity,
+    StateMachineCallbacks,
+    Timing,
+)
 from hitchdeck_control.storage.identity import open_identity
 from hitchdeck_control.storage.log import DurableLog
 from hitchdeck_core.clock import boot_seconds
@@ -32,25 +37,25 @@
 
 TIMING = Timing(heartbeat=0.02, election_timeout=0.15, snapshot_every=50)
 
-_PATIENCE = 15.0
-_POLL = 0.01
+_TIMEOUT_SECONDS = 15.0
+_POLL_SECONDS = 0.01
 
 
 class FakeLinks:
-    """Calls between replicas of one process, unless the link is cut."""
+    """Calls between replicas of one process; a call on a cut link fails."""
 
     def __init__(self, group: 'Group', source: str) -> None:
         self.group = group
         self.source = source
 
     async def vote(self, address: Address, request: VoteRequest) -> VoteReply:
-        """Ask for a vote."""
-        return await answer_vote(self._target(address).replica, request)
+        """Request a vote."""
+        return await handle_vote(self._target(address).replica, request)
 
     async def append(self, address: Address, request: AppendRequest) -> AppendReply:
         """Send entries."""
         node = self._target(address)
-        reply = await replication.answer_append(node.replica, node.lock, request)
+        reply = await replication.handle_append(node.replica, node.lock, request)
         self._target(address)
         return reply
 
@@ -61,7 +66,7 @@
     ) -> AppendReply:
         """Send a snapshot."""
         node = self._target(address)
-        return await replication.answer_snapshot(node.replica, node.lock, request)
+        return await replication.handle_snapshot(node.replica, node.lock, request)
 
     def _target(self, address: Address) -> 'Node':
         node = self.group.nodes.get(address)
@@ -76,14 +81,14 @@
 
     name: str
     replica: Replica
-    machine: Machine
+    machine: StateMachine
     tasks: Supervisor
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 @dataclass
 class Group:
-    """A group; names in ``cut`` are cut off from all others."""
+    """A group; replicas named in ``cut`` are partitioned from all others."""
 
     folder: Path
     now: Callable[[], float] = boot_seconds
@@ -91,21 +96,23 @@
     cut: set[str] = field(default_factory=set)
 
     def start(self, name: str, folder: str = '') -> Node:
-        """Start a replica on a folder, its own by default."""
+        """Start a replica on a folder, by default the one of its name."""
         path = self.folder / (folder or name)
         box = BoxName(name)
-        machine = Machine(1000)
+        machine = StateMachine(1000)
         replica = Replica(
-            Self(open_identity(path, box), box, Address(name)),
+            ReplicaIdentity(open_identity(path, box), box, Address(name)),
             DurableLog(path),
-            Machinery(machine.apply, machine.dump, machine.load, first_command()),
+            StateMachineCallbacks(
+                machine.apply, machine.dump, machine.load, first_command()
+            ),
             TIMING,
             self.now,
         )
         node = Node(name, replica, machine, Supervisor(name))
-        links = cast(Links, FakeLinks(self, name))
+        links = cast(PeerClient, FakeLinks(self, name))
         keep = node.tasks.permanent
-        keep('election', lambda: watch_leader(replica, links))
+        keep('election', lambda: run_elections(replica, links))
         keep('replication', lambda: replication.replicate(replica, links))
         keep('log', lambda: replication.write_log(replica))
         keep('apply', lambda: replication.apply_log(replica))
@@ -113,20 +120,20 @@
         return node
 
     async def stop(self, name: str) -> None:
-        """Stop a replica; its folder stays."""
+        """Stop a replica and keep its folder."""
         node = self.nodes.pop(name)
         await node.tasks.stop()
         node.replica.log.close()
 
     async def found(self) -> None:
-        """Make all running replicas a group."""
+        """Found a group of all running replicas."""
         members = [self.member(name, voter=True) for name in self.nodes]
         for node in self.nodes.values():
-            await membership.found(node.replica, members)
+            await membership.found_group(node.replica, members)
 
     def member(self, name: str, *, voter: bool = False) -> Member:
-        """Return a running replica as a member."""
-        me = self.nodes[name].replica.me
+        """Return the membership record of a running replica."""
+        me = self.nodes[name].replica.identity
         return Member(
             replica=me.replica,
             box=me.box,
@@ -135,7 +142,7 @@
         )
 
     async def leader(self) -> Node:
-        """Wait for a leader with a lease, among those not cut off."""
+        """Wait for a leader with a lease among the replicas that are not cut off."""
 
         def leading() -> list[Node]:
             return [
@@ -148,7 +155,7 @@
         return leading()[0]
 
     async def put(self, name: str, operator: str = '', number: int = 0) -> Outcome:
-        """Commit an account through whoever leads, trying until it works."""
+        """Commit an account through the current leader; retry until it succeeds."""
         command = Put(resource=Account(name=name))
         submission = Submission(
             command=command,
@@ -163,17 +170,17 @@
                 async with asyncio.timeout(1):
                     return await node.replica.propose(encoded)
             except (NotLeaderError, OutcomeUnknownError, TimeoutError):
-                await asyncio.sleep(_POLL)
+                await asyncio.sleep(_POLL_SECONDS)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all replicas."""
         for name in list(self.nodes):
             await self.stop(name)
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until something holds; fail if it does not for very long."""
-    deadline = boot_seconds() + _PATIENCE
+    """Wait until a condition holds; fail after a timeout."""
+    deadline = boot_seconds() + _TIMEOUT_SECONDS
     while not condition():
-        assert boot_seconds() < deadline, 'waited in vain'
-        await asyncio.sleep(_POLL)
+        assert boot_seconds() < deadline, 'timed out while waiting for the condition'
+        await asyncio.sleep(_POLL_SECONDS)
--- a/tests/cover/test_caller_left.py
+++ b/tests/cover/test_caller_left.py
@@ -1,9 +1,9 @@
-"""A router sends nothing for a caller whose close has reached it.
+"""A router sends no request upstream after its caller has disconnected.
 
-The close of a caller lies in the router's own socket until the event loop turns.
-Entry boxes of the platform, which learned of it in the same way, sent a request on
-1.5 s after its caller's close while they were behind; between a slot's grant and the
-call a router does not turn its loop either.
+The close of a connection stays in the socket until the event loop polls it, and a
+router does not poll between the grant of a slot and the call.  Overloaded entry boxes
+of the platform, which detect a close in the same way, forwarded a request 1.5 s after
+its caller had disconnected.
 """
 
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 from hitchdeck_core.resources import Urgency
 from hitchdeck_core.signals import Signal
 from hitchdeck_router.dispatch.attempts import Progress, run_attempts
-from hitchdeck_router.dispatch.requests import Admitted
-from hitchdeck_router.errors import CallerLeftError
-from hitchdeck_router.scheduling.holding import Slot
+from hitchdeck_router.dispatch.requests import AdmittedRequest
+from hitchdeck_router.errors import CallerDisconnectedError
+from hitchdeck_router.scheduling.client_state import Slot
 
 
-def admitted_of(has_left: Callable[[], bool]) -> Admitted:
-    return Admitted(
+def admitted_of(has_disconnected: Callable[[], bool]) -> AdmittedRequest:
+    return AdmittedRequest(
         request=RequestId('r'),
         account=AccountName('ann'),
         pool=PoolName('chat'),
@@ -32,12 +32,12 @@
         deadline=0,
         hint=1,
         body=b'',
-        has_left=has_left,
+        has_disconnected=has_disconnected,
     )
 
 
 def context_of(released: list[bool]) -> Any:
-    """Return a router's context in which one slot is granted at once."""
+    """Return a router context that grants a slot at once."""
 
     async def acquire(*_: object) -> object:
         return SimpleNamespace(
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize('left', [False, True])
-async def test_a_granted_request_is_sent_only_while_its_caller_is_there(
+async def test_a_granted_request_is_sent_only_while_its_caller_is_connected(
     left: bool,
 ) -> None:
     sent: list[str] = []
@@ -81,7 +81,7 @@
         run_once,
     )
     if left:
-        with pytest.raises(CallerLeftError):
+        with pytest.raises(CallerDisconnectedError):
             await run
     else:
         await run
--- a/tests/cover/test_moving.py
+++ b/tests/cover/test_moving.py
@@ -1,4 +1,4 @@
-"""Tickets that wait move to shards where work could start."""
+"""Pending tickets move to shards that can start work."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 from hitchdeck_router.fleet.traffic import Traffic
 from hitchdeck_router.fleet.view import FleetView
 from hitchdeck_router.scheduling.client import ShardClient
-from hitchdeck_router.scheduling.holding import PendingTicket
+from hitchdeck_router.scheduling.client_state import PendingTicket
 from hitchdeck_router.scheduling.slots import SlotFinder
 
 POOL = PoolName('p')
@@ -42,7 +42,7 @@
 
 
 async def waiting_at(finder: SlotFinder, client: ShardClient) -> PendingTicket:
-    """Return a ticket that waits at a shard."""
+    """Return a ticket that is pending at a shard."""
     granted = asyncio.get_running_loop().create_future()
     pending = PendingTicket(Ticket(id=1), granted, boot_seconds())
     client.submit(pending)
@@ -69,7 +69,7 @@
     pending = await waiting_at(finder, here)
     here.serves = here_serves
     there.idle, there.serves = there_idle, there_serves
-    finder._relieve(here)
+    finder._move_waiting(here)
     assert pending.client is (there if moves else here)
     assert len(here.waiting) + len(there.waiting) == 1
     assert len(here.unsent.cancelled) == int(moves)
--- a/tests/cover/test_ports.py
+++ b/tests/cover/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are picked stay the picker's own."""
+"""A picked port stays reserved for the process that picked it."""
 
 import socket
 import subprocess
@@ -18,12 +18,12 @@
 
 @pytest.fixture(name='area')
 def area_fixture() -> tuple[int, int]:
-    """Return a range of ports that no other test takes from."""
+    """Return a range of ports that no other test uses."""
     return FIRST + 10_000, FIRST + 10_000 + FEW
 
 
 def close(ports: Ports) -> None:
-    """Give the blocks back."""
+    """Release the reserved blocks."""
     for claim in ports.claims:
         claim.close()
 
@@ -60,7 +60,7 @@
     close(ports)
 
 
-def test_the_end_of_the_ports_is_an_error_and_no_wait(area: tuple[int, int]) -> None:
+def test_exhausted_ports_raise_an_error_without_waiting(area: tuple[int, int]) -> None:
     ports = Ports(*area)
     with pytest.raises(PortsTakenError):
         for _ in range(FEW + 1):
--- a/tests/cover/test_router_state.py
+++ b/tests/cover/test_router_state.py
@@ -1,4 +1,4 @@
-"""What a router knows: configuration, lease, directory, placement, usage."""
+"""State of a router: configuration, lease, directory, placement, usage."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 from hitchdeck_router.fleet.directory import FleetDirectory
 from hitchdeck_router.fleet.lease import ConfigurationLease
 from hitchdeck_router.fleet.view import FleetView
-from hitchdeck_router.scheduling.placement import CacheRecord, choose_upstream
+from hitchdeck_router.scheduling.placement import CacheIndex, choose_upstream
 from hitchdeck_router.serving.addresses import addresses_for
 
 U1, U2 = UpstreamName('u1'), UpstreamName('u2')
@@ -71,7 +71,7 @@
 
 
 def change(view: FleetView, *changes: ResourceChange) -> None:
-    """Bring a view to its next version."""
+    """Advance a view to its next version."""
     version = view.version
     assert view.apply(
         Delta(from_version=version, version=version + 1, changes=changes),
@@ -118,7 +118,7 @@
     assert view.reachable_pools(AccountName('b')) == (pool,)
 
 
-def test_deleted_key_opens_nothing() -> None:
+def test_deleted_key_authenticates_nobody() -> None:
     view = view_of(*BASE)
     change(view, written(Account(name='a', key_hashes=('new',))))
     assert 'h' not in view.account_by_key
@@ -150,30 +150,30 @@
     assert not lease.is_live()
     number = lease.next_beat()
     clock[0] = 2.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert lease.is_live()
     clock[0] = 2.9
-    assert not lease.is_live(), 'the answer took 2 of the 3 seconds'
+    assert not lease.is_live(), 'the answer used up 2 of the 3 seconds'
 
 
 def test_answer_to_an_unknown_beat_grants_nothing() -> None:
     clock = [0.0]
     lease = ConfigurationLease(lambda: clock[0])
     number = lease.next_beat()
-    lease.granted(number + 1, 3.0)
+    lease.renew(number + 1, 3.0)
     assert not lease.is_live()
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     clock[0] = 10.0
-    lease.granted(number, 3.0)
+    lease.renew(number, 3.0)
     assert not lease.is_live()
 
 
 def shard(epoch: int) -> ShardEntry:
-    """Return a shard's holder."""
+    """Return the directory entry of a shard at an epoch."""
     return ShardEntry(shard='p/0', router='r', epoch=epoch)
 
 
-def test_late_word_of_an_earlier_epoch_is_ignored() -> None:
+def test_late_message_of_an_earlier_epoch_is_ignored() -> None:
     directory = FleetDirectory()
     directory.update(Directory(shards=[shard(2)]))
     directory.update(Directory(shards=[shard(1)]))
@@ -195,38 +195,38 @@
 
 
 def sums(**costs: int) -> list[UsageSum]:
-    """Return sums in one shard."""
+    """Return usage sums of accounts in one shard."""
     return [UsageSum(shard='p/0', account=one, cost=n) for one, n in costs.items()]
 
 
-def test_usage_counts_once_whatever_is_repeated_or_late() -> None:
+def test_usage_counts_once_if_repeated_or_late() -> None:
     table = UsageTable()
     for report in (sums(a=10), sums(a=30), sums(a=10), sums(a=30)):
         table.merge('life', report)
     table.merge('other', sums(a=5))
-    table.end('life')
+    table.retire('life')
     table.merge('life', sums(a=40))
     assert table.by_account['a'] == 35
-    assert [one.cost for one in table.elsewhere('q/0', 0)] == [35]
-    assert [one.cost for one in table.elsewhere('p/0', 0)] == [0]
-    assert not list(table.elsewhere('q/0', table.position))
+    assert [one.cost for one in table.usage_outside('q/0', 0)] == [35]
+    assert [one.cost for one in table.usage_outside('p/0', 0)] == [0]
+    assert not list(table.usage_outside('q/0', table.position))
 
 
 def test_placement_prefers_the_cache_unless_it_is_full() -> None:
-    record = CacheRecord()
-    record.note(U1, (1, 2))
-    record.note(U2, (), 'session')
-    assert record.holder((1, 2, 3), '') == U1
-    assert record.holder((1,), 'session') == U2
-    assert record.holder((9,), '') is None
+    record = CacheIndex()
+    record.add(U1, (1, 2))
+    record.add(U2, (), 'session')
+    assert record.lookup((1, 2, 3), '') == U1
+    assert record.lookup((1,), 'session') == U2
+    assert record.lookup((9,), '') is None
     assert choose_upstream({U1: 1, U2: 5}, U1) == U1
     assert choose_upstream({U1: 0, U2: 5}, U1) == U2
     assert choose_upstream({U1: 0, U2: -1}, U1) is None
 
 
 def test_record_of_caches_is_bounded_and_takes_hints() -> None:
-    record = CacheRecord(most=3)
-    record.note(U1, range(10))
+    record = CacheIndex(max_entries=3)
+    record.add(U1, range(10))
     assert list(record.blocks) == [7, 8, 9]
     record.forget(U2, [9])
     record.forget(U1, [8])
--- a/tests/edge/test_cold_upstreams.py
+++ b/tests/edge/test_cold_upstreams.py
@@ -1,4 +1,4 @@
-"""Cold upstreams get no more requests than they bear, over all processes."""
+"""The rate limit of cold upstreams holds over all processes together."""
 
 import random
 from collections import Counter, deque
@@ -12,13 +12,13 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.hub.placing import REMEMBERED_SECONDS, FleetSize
+from hitchdeck_edge.hub.placing import FLEET_SIZE_WINDOW_SECONDS, FleetSize
 from hitchdeck_edge.links.records import decode_upstream, encode_upstream
-from hitchdeck_edge.model.placing import Choice, Wanted
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.chooser import Chooser
 from hitchdeck_edge.scheduling.cold_budget import ColdBudget
-from hitchdeck_edge.state.cold import LONGEST_COLD_SECONDS, ColdUpstreams
+from hitchdeck_edge.state.cold import MAX_COLD_SECONDS, ColdUpstreams
 from hitchdeck_edge.state.documents import Documents
 from hitchdeck_edge.state.evacuations import domain_closer
 from hitchdeck_edge.state.registry import Registry
@@ -29,7 +29,7 @@
 RATE = 9.8
 OVERRUN = 1.5
 SLACK = 5
-"""The bound over all boxes is the rate times the overrun, and the slack."""
+"""Requests; all boxes together may send ``RATE * OVERRUN + SLACK`` in a second."""
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
         ([(1, 3.0), (2, 0.0)], 0.0),
         ([(2, 0.0), (1, 3.0)], 0.0),
         ([(1, 0.0), (2, 3.0)], 3.0),
-        ([(1, 1e9)], LONGEST_COLD_SECONDS),
+        ([(1, 1e9)], MAX_COLD_SECONDS),
     ],
 )
 def test_the_latest_report_says_how_long_an_upstream_is_cold(
@@ -52,7 +52,7 @@
     assert (NAME in cold.cold_now()) is bool(left)
 
 
-def test_what_is_assumed_outlasts_a_report_from_before() -> None:
+def test_an_assumed_cold_period_outlasts_an_earlier_report() -> None:
     clock = FakeClock()
     cold = ColdUpstreams(clock)
     cold.assume(NAME, 3.0)
@@ -77,7 +77,7 @@
     assert first.changes == seen
 
 
-def test_a_report_that_only_counts_down_is_not_passed_on() -> None:
+def test_a_report_that_only_counts_down_is_not_propagated() -> None:
     clock = FakeClock()
     registry = Registry(clock, Signal())
     registry.merge(replace(engine('e0'), cold_left=3.0), 'report')
@@ -112,7 +112,7 @@
     assert not registry.cold.cold_now()
 
 
-def test_a_scheduler_sends_a_cold_engine_what_it_bears_and_the_rest_elsewhere() -> None:
+def test_a_scheduler_limits_a_cold_engine_to_its_rate_and_uses_the_other() -> None:
     clock = FakeClock()
     scheduler = scheduler_of(clock, 2)
     offer(scheduler, 10_000_000, coldS=3.0, coldPerS=RATE)
@@ -137,37 +137,37 @@
     assert decisions[1:] == [Refusal.no_upstream, Refusal.no_upstream]
 
 
-class Answering:
-    """A link to a scheduler that has room at every engine."""
+class AcceptingScheduler:
+    """A link to a scheduler that accepts every request."""
 
     def __init__(self, clock: FakeClock, choice: Choice) -> None:
         self.now = clock
         self.scheduler = 'hub'
         self.choice = choice
 
-    async def place(self, _wanted: Wanted) -> Choice:
+    async def place(self, _wanted: PlacementQuery) -> Choice:
         return self.choice
 
 
-async def test_a_box_asks_the_scheduler_where_it_may_send_nothing_itself() -> None:
+async def test_a_box_asks_the_scheduler_when_it_has_no_candidate_itself() -> None:
     clock = FakeClock()
     local = scheduler_of(clock, 2)
     offer(local, 10_000_000, coldS=3.0, coldPerS=RATE)
     cold = local.placement.registry.cold
     cold.report(NAME, 9, 10.0)
-    local.placement.cold_budget.part = float
+    local.placement.cold_budget.rate_fraction = float
     choice = Choice(engine('e0'), 0, 0)
-    chooser = Chooser('a', local, Answering(clock, choice))
+    chooser = Chooser('a', local, AcceptingScheduler(clock, choice))
     chooser.backpressure.pause(UpstreamName('e1'), 5.0)
     call = replace(wanted(), avoid=frozenset((UpstreamName('e1'),)))
     assert not local.placement.candidates(call)
-    passage = SimpleNamespace(wanted=lambda _domain: wanted(), decided_by='')
-    assert await chooser.choose(passage) == choice
+    context = SimpleNamespace(placement_query=lambda _domain: wanted(), decided_by='')
+    assert await chooser.choose(context) == choice
 
 
 @dataclass
 class Decider:
-    """One of many processes that decide without a word to each other."""
+    """One of many processes that place requests without communicating."""
 
     budget: ColdBudget
 
@@ -181,13 +181,13 @@
 
 def decider(clock: FakeClock, part: float) -> Decider:
     cold = ColdUpstreams(clock)
-    cold.report(NAME, 1, LONGEST_COLD_SECONDS)
+    cold.report(NAME, 1, MAX_COLD_SECONDS)
     budget = ColdBudget(clock, cold, lambda _pool: RATE)
-    budget.part = lambda: part
+    budget.rate_fraction = lambda: part
     return Decider(budget)
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_sends_per_second(times: list[float]) -> int:
     window: deque[float] = deque()
     most = 0
     for at in times:
@@ -198,13 +198,13 @@
     return most
 
 
-def played(
+def simulate_sends(
     clock: FakeClock,
     deciders: list[Decider],
     demand: Callable[[int], bool],
     seconds: int,
 ) -> list[float]:
-    """Return when requests were sent; each decider tries every 20 ms on demand."""
+    """Return the send times; each decider tries every 20 ms while there is demand."""
     return list(_sends(clock, deciders, demand, seconds))
 
 
@@ -237,8 +237,8 @@
     def demand(step: int) -> bool:
         return on[step % len(on)]
 
-    times = played(clock, deciders, demand, 10)
-    assert most_in_a_second(times) <= RATE * OVERRUN + SLACK
+    times = simulate_sends(clock, deciders, demand, 10)
+    assert max_sends_per_second(times) <= RATE * OVERRUN + SLACK
 
 
 @pytest.mark.parametrize('boxes', [3, 12, 96, 300])
@@ -246,17 +246,17 @@
     random.seed(7)
     clock = FakeClock()
     deciders = [decider(clock, 1 / boxes) for _ in range(boxes)]
-    times = played(clock, deciders, lambda step: step % 150 < 100, 20)
+    times = simulate_sends(clock, deciders, lambda step: step % 150 < 100, 20)
     assert times
-    assert most_in_a_second(times) <= RATE * OVERRUN + SLACK
+    assert max_sends_per_second(times) <= RATE * OVERRUN + SLACK
 
 
-def test_boxes_that_attend_no_more_count_for_a_while() -> None:
+def test_disconnected_boxes_count_toward_the_fleet_size_for_a_while() -> None:
     clock = FakeClock()
     counts = [96]
     fleet = FleetSize(lambda: counts[0], clock)
     assert fleet.largest() == 96
     counts[0] = 40
     assert fleet.largest() == 96
-    clock.seconds += REMEMBERED_SECONDS + 1
+    clock.seconds += FLEET_SIZE_WINDOW_SECONDS + 1
     assert fleet.largest() == 40
--- a/tests/edge/test_mechanisms.py
+++ b/tests/edge/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism that decides can be switched off, and then decides nothing."""
+"""Each placement mechanism can be switched off, and then has no effect."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -7,7 +7,7 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.mechanisms import Mechanisms
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from tests.common.scheduling import FakeClock, engine, offer, scheduler_of, wanted
@@ -16,25 +16,25 @@
 
 
 def scheduler_with(mechanisms: Mechanisms) -> Scheduler:
-    """Return a scheduler of a near engine e0 and a far one e1."""
+    """Return a scheduler with a near engine e0 and a far one e1."""
     scheduler = scheduler_of(FakeClock(), 2, mechanisms)
     far = replace(engine('e1'), domain='b', sequence=2)
     scheduler.placement.registry.merge(far, 'test')
     return scheduler
 
 
-def chosen(scheduler: Scheduler, one: Wanted) -> str:
-    """Return where a request goes, or why it is refused."""
+def outcome_of(scheduler: Scheduler, one: PlacementQuery) -> str:
+    """Return the engine chosen for a request, or the reason of its refusal."""
     decision = scheduler.decide(one)
     if isinstance(decision, Refusal):
         return decision.name
     return decision.upstream.name
 
 
-def long_one(scheduler: Scheduler) -> Wanted:
-    """Return a long request whose subject e0 is taken to hold."""
+def long_query(scheduler: Scheduler) -> PlacementQuery:
+    """Return a long request whose subject is assumed to be cached at e0."""
     subjects = (wanted(subject=str(number), tokens=20_000) for number in range(100))
-    return next(one for one in subjects if chosen(scheduler, one) == FIRST)
+    return next(one for one in subjects if outcome_of(scheduler, one) == FIRST)
 
 
 def flooded(scheduler: Scheduler) -> str:
@@ -43,51 +43,51 @@
         scheduler.shares.ask(wanted('other'))
         scheduler.place(('box', number), replace(wanted(), resumes=True))
         scheduler.end(('box', number))
-    scheduler.enter(('box', 1), FIRST, 2000)
-    scheduler.enter(('box', 2), UpstreamName('e1'), 2000)
+    scheduler.add_open(('box', 1), FIRST, 2000)
+    scheduler.add_open(('box', 2), UpstreamName('e1'), 2000)
     return _placed_or_refused(scheduler)
 
 
 def nearest(scheduler: Scheduler) -> str:
-    scheduler.enter(('box', 1), FIRST, 100)
-    return chosen(scheduler, wanted(tokens=10))
+    scheduler.add_open(('box', 1), FIRST, 100)
+    return outcome_of(scheduler, wanted(tokens=10))
 
 
 def failed(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
-    scheduler.placement.health.fail(FIRST, 'test')
-    return chosen(scheduler, one)
+    one = long_query(scheduler)
+    scheduler.placement.health.record_failure(FIRST, 'test')
+    return outcome_of(scheduler, one)
 
 
 def slow(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     scheduler.placement.health.record(FIRST).slowness = 30
-    return chosen(scheduler, one)
+    return outcome_of(scheduler, one)
 
 
 def crowded(scheduler: Scheduler) -> str:
     for number in range(60):
-        scheduler.enter(('box', number), UpstreamName(f'e{number % 2}'), 0)
+        scheduler.add_open(('box', number), UpstreamName(f'e{number % 2}'), 0)
     return _placed_or_refused(scheduler)
 
 
 def cached(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
+    one = long_query(scheduler)
     assert one.prompt is not None
-    scheduler.placement.memory.note(UpstreamName('e1'), one.prompt)
-    return chosen(scheduler, one)
+    scheduler.placement.prefix_cache.record_prompt(UpstreamName('e1'), one.prompt)
+    return outcome_of(scheduler, one)
 
 
 def busy_with_the_subject(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 40_000)
-    return chosen(scheduler, one)
+    one = long_query(scheduler)
+    scheduler.add_open(('box', 1), FIRST, 40_000)
+    return outcome_of(scheduler, one)
 
 
 def worth_the_wait(scheduler: Scheduler) -> str:
-    one = long_one(scheduler)
-    scheduler.enter(('box', 1), FIRST, 12_000)
-    return chosen(scheduler, one)
+    one = long_query(scheduler)
+    scheduler.add_open(('box', 1), FIRST, 12_000)
+    return outcome_of(scheduler, one)
 
 
 def _placed_or_refused(scheduler: Scheduler) -> str:
--- a/tests/edge/test_near_engines.py
+++ b/tests/edge/test_near_engines.py
@@ -1,4 +1,4 @@
-"""Prompts and the failure domains of engines: what crosses, and what does not."""
+"""Placement of prompts within and across the failure domains of engines."""
 
 from dataclasses import replace
 
@@ -6,9 +6,9 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.model.placing import Choice, Wanted
-from hitchdeck_edge.scheduling.pace import DEFAULT_PACE
-from hitchdeck_edge.scheduling.placement import NEAR_WAIT_PART
+from hitchdeck_edge.model.placing import Choice, PlacementQuery
+from hitchdeck_edge.scheduling.engine_speed import DEFAULT_READ_RATE
+from hitchdeck_edge.scheduling.placement import NEAR_WAIT_FRACTION
 from hitchdeck_edge.scheduling.scheduler import Scheduler
 from hitchdeck_edge.scheduling.shares import Shares
 from hitchdeck_edge.state.documents import Documents
@@ -22,7 +22,7 @@
 
 
 def fleet() -> Scheduler:
-    """Return a scheduler of some engines in each of three domains."""
+    """Return a scheduler with ``ENGINES`` engines in each of three domains."""
     clock = FakeClock()
     registry = Registry(clock, Signal())
     for domain in DOMAINS:
@@ -33,69 +33,71 @@
     return Scheduler(documents, registry, Shares(4, clock), clock)
 
 
-def place(scheduler: Scheduler, one: Wanted, number: int = 0) -> Choice:
-    """Place a request that ends at once, so that no queue grows."""
+def place(scheduler: Scheduler, one: PlacementQuery, number: int = 0) -> Choice:
+    """Place a request that completes at once, so that no queue grows."""
     decision = scheduler.place(('box', number), one)
     assert isinstance(decision, Choice)
     scheduler.end(('box', number))
     return decision
 
 
-def asked(subject: str, domain: str) -> Wanted:
+def query_from(subject: str, domain: str) -> PlacementQuery:
     return replace(wanted(subject=subject), domain=domain)
 
 
 @pytest.mark.parametrize('domain', DOMAINS)
 @pytest.mark.parametrize('tokens', [1000, 4000])
-def test_a_flood_of_one_domain_is_shared_out_over_all(domain: str, tokens: int) -> None:
-    """A flood of one domain filled its engines, and the others had room."""
+def test_a_flood_of_one_domain_is_spread_over_all_domains(
+    domain: str, tokens: int
+) -> None:
+    """Guards against a flood that fills the engines of one domain while others idle."""
     scheduler = fleet()
     for number in range(4 * len(SUBJECTS)):
         one = replace(wanted(subject=str(number), tokens=tokens), domain=domain)
         scheduler.place(('box', number), replace(one, body_bytes=9000))
     waits = {
-        name: scheduler.placement.books.waiting(name)
+        name: scheduler.placement.open_work.waiting(name)
         for name in scheduler.placement.registry.names()
     }
-    # Nearby an engine may have the wait of the preference before others are used.
-    slack = NEAR_WAIT_PART * 0.6 * DEFAULT_PACE + 2 * tokens
+    # A near engine is preferred up to this wait before others are used.
+    slack = NEAR_WAIT_FRACTION * 0.6 * DEFAULT_READ_RATE + 2 * tokens
     assert max(waits.values()) - min(waits.values()) <= slack
     assert all(waits.values())
 
 
 @pytest.mark.parametrize('domain', DOMAINS)
-def test_what_is_new_is_read_nearby_while_there_is_room(domain: str) -> None:
+def test_a_new_prompt_stays_nearby_while_there_is_room(domain: str) -> None:
     scheduler = fleet()
-    placed = [place(scheduler, asked(one, domain)).upstream for one in SUBJECTS]
+    placed = [place(scheduler, query_from(one, domain)).upstream for one in SUBJECTS]
     assert {one.domain for one in placed} == {domain}
     assert len({one.name for one in placed}) == ENGINES
 
 
 @pytest.mark.parametrize(('body_bytes', 'stays'), [(200, False), (40_000, True)])
-def test_the_larger_a_body_the_longer_a_wait_it_stays_nearby_for(
+def test_larger_bodies_accept_a_longer_wait_nearby(
     body_bytes: int, stays: bool
 ) -> None:
     scheduler = fleet()
-    one = replace(asked('known', 'a'), body_bytes=body_bytes)
+    one = replace(query_from('known', 'a'), body_bytes=body_bytes)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 1500)
+            scheduler.add_open((name, 0), name, 1500)
     assert (place(scheduler, one).upstream.domain == 'a') is stays
 
 
 @pytest.mark.parametrize('domain', DOMAINS)
-def test_what_was_read_elsewhere_is_not_read_again(domain: str) -> None:
+def test_a_prompt_cached_elsewhere_is_not_computed_again(domain: str) -> None:
     scheduler = fleet()
     for subject in SUBJECTS:
-        first = place(scheduler, asked(subject, 'a'))
-        assert place(scheduler, asked(subject, domain)).upstream == first.upstream
+        first = place(scheduler, query_from(subject, 'a'))
+        assert place(scheduler, query_from(subject, domain)).upstream == first.upstream
 
 
 @pytest.mark.parametrize('had', [0, 40])
 def test_a_request_goes_elsewhere_rather_than_be_refused(had: int) -> None:
-    """A wait nearby that is no reason to go far was one to refuse a request."""
+    """Guards against refusing a request for a wait too short to choose a far engine."""
     scheduler = fleet()
     offer(scheduler, 40_000)
     for number in range(had):
@@ -107,9 +109,9 @@
     one = replace(wanted('ann', subject='known'), domain='a', body_bytes=40_000)
     assert one.prompt is not None
     for name in scheduler.placement.registry.names():
-        scheduler.placement.memory.note(name, one.prompt)
+        scheduler.placement.prefix_cache.record_prompt(name, one.prompt)
         if name.startswith('a'):
-            scheduler.enter((name, 0), name, 2500)
+            scheduler.add_open((name, 0), name, 2500)
     assert isinstance(scheduler.place(('box', 0), one), Choice)
 
 
@@ -118,5 +120,5 @@
     for number in range(ENGINES):
         for run in range(40):
             name = UpstreamName(f'a{number}')
-            scheduler.enter((name, run), name, 5000)
-    assert place(scheduler, asked('new', 'a')).upstream.domain != 'a'
+            scheduler.add_open((name, run), name, 5000)
+    assert place(scheduler, query_from('new', 'a')).upstream.domain != 'a'
--- a/tests/edge/test_outside_numbers.py
+++ b/tests/edge/test_outside_numbers.py
@@ -1,7 +1,7 @@
-"""Numbers from outside: fractions, huge, zero or absent, in any shape of deployment.
+"""Numbers from outside: fractions, huge, zero or absent, in settings of any shape.
 
-Each process ended at once where a bound was a fraction, and a day was served by
-nobody.
+Guards against processes that exit at the start because a bound is a fraction, which
+left a day without service.
 """
 
 import json
@@ -15,14 +15,14 @@
 from hitchdeck_core.errors import HitchdeckError, SettingsError
 from hitchdeck_core.ids import AccountName, PoolName, UpstreamName
 from hitchdeck_core.wire.spread_pb2 import BoxFrame
-from hitchdeck_edge.errors import CallError, DocumentError
+from hitchdeck_edge.errors import DocumentError, MalformedRequestError
 from hitchdeck_edge.links.placing_messages import encode_wanted
 from hitchdeck_edge.links.records import encode_upstream
-from hitchdeck_edge.model.placing import Wanted
+from hitchdeck_edge.model.placing import PlacementQuery
 from hitchdeck_edge.state.tallies import Tally
 from hitchdeck_platform.documents import read_document
-from hitchdeck_platform.doors import decode_upstream
 from hitchdeck_platform.errors import FieldError
+from hitchdeck_platform.hub_api import decode_upstream
 from hitchdeck_platform.requests import read_call
 from hitchdeck_platform.settings import decode_settings, read_settings
 
@@ -65,7 +65,7 @@
     bounds: dict[str, Any] | None = None,
     machines: object = 2,
 ) -> dict[str, Any]:
-    """Return the fields of a settings file as the platform's page shows them."""
+    """Return the fields of a settings file as the platform documentation shows them."""
     return {
         'nodeName': 'front-a-1',
         'serves': ['front', 'control', 'directory'],
@@ -88,7 +88,7 @@
 
 
 def document_fields() -> dict[str, Any]:
-    """Return a document as the platform's page shows it."""
+    """Return a document as the platform documentation shows it."""
     return {
         'version': 7,
         'routes': [
@@ -194,7 +194,7 @@
 
 
 @given(name=st.sampled_from(sorted(settings_fields())), number=ANYTHING)
-def test_settings_of_any_shape_end_in_an_error_for_people(
+def test_settings_of_any_shape_give_a_readable_error(
     name: str,
     number: object,
 ) -> None:
@@ -220,7 +220,7 @@
     ),
     number=UNUSABLE.filter(lambda one: one not in ([], {})),
 )
-def test_what_is_no_number_in_a_document_is_named(
+def test_an_invalid_number_in_a_document_is_named(
     path: tuple[Any, ...],
     number: object,
 ) -> None:
@@ -265,7 +265,9 @@
 
 
 @given(name=st.sampled_from(sorted(REPORT)), number=ANYTHING)
-def test_a_report_is_taken_and_passed_on_or_refused(name: str, number: object) -> None:
+def test_a_report_is_accepted_and_propagated_or_refused(
+    name: str, number: object
+) -> None:
     try:
         upstream = decode_upstream('i-1', {**REPORT, name: number})
     except (FieldError, ValueError) as error:
@@ -275,7 +277,7 @@
 
 
 @given(slots=MEASURES)
-def test_a_report_may_have_any_number_of_places(slots: float) -> None:
+def test_a_report_may_have_any_number_of_slots(slots: float) -> None:
     assert decode_upstream('i-1', {**REPORT, 'slots': slots}).slots >= 1
 
 
@@ -286,7 +288,7 @@
     sizes=st.tuples(MEASURES, MEASURES),
     parts=st.lists(MEASURES, max_size=3),
 )
-def test_a_request_of_any_size_can_be_asked_about(
+def test_a_placement_query_may_have_any_size(
     patience: str,
     sizes: tuple[float, float],
     parts: list[float],
@@ -300,13 +302,13 @@
             ('Prompt-Prefix', ','.join(f'{n}:{one}' for n, one in enumerate(parts))),
         ],
     )
-    assert call.patience is not None
-    wanted = Wanted(
+    assert call.timeout is not None
+    wanted = PlacementQuery(
         request=call.request,
         pool=PoolName('s'),
         domain='a',
         slots=64,
-        goal=call.patience,
+        goal=call.timeout,
         account=AccountName('t'),
         prompt=call.prompt,
         tried=frozenset(),
@@ -316,15 +318,15 @@
 
 
 @pytest.mark.parametrize('header', [('Deadline-Ms', 'nan'), ('Token-Count', '-1,2')])
-def test_a_request_whose_numbers_say_nothing_is_refused(
+def test_a_request_with_unusable_numbers_is_refused(
     header: tuple[str, str],
 ) -> None:
-    with pytest.raises(CallError):
+    with pytest.raises(MalformedRequestError):
         read_call('POST', '/a/b', [header])
 
 
 @given(st.lists(st.integers(0, 2**31 - 1), min_size=1, max_size=6))
-def test_demands_that_add_up_to_more_than_a_field_holds_are_sent(
+def test_demands_whose_sum_exceeds_a_field_are_sent(
     tokens: list[int],
 ) -> None:
     tally = Tally()
--- a/tests/edge/test_passing.py
+++ b/tests/edge/test_passing.py
@@ -1,4 +1,4 @@
-"""Requests through a box reach one upstream, whole, and never too often."""
+"""Requests reach one upstream, whole, and run no more often than allowed."""
 
 import asyncio
 import json
@@ -13,9 +13,9 @@
 
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_edge.model.calls import Call
-from hitchdeck_edge.model.passage import Passage
 from hitchdeck_edge.model.placing import Choice
-from hitchdeck_edge.model.refusals import ELSEWHERE_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.refusals import OTHER_BOX_RETRY_SECONDS, Refusal
+from hitchdeck_edge.model.request_context import RequestContext
 from hitchdeck_edge.serving import admission, caller
 from hitchdeck_platform.requests import DIALECT
 from standins.platform_site import HOST, KEY, Site, document, running_site
@@ -30,7 +30,7 @@
         yield running
 
 
-def ran(site: Site, attempt: str) -> int:
+def run_count(site: Site, attempt: str) -> int:
     return sum(worker.ran.count(attempt) for worker in site.workers)
 
 
@@ -39,7 +39,9 @@
         worker.misbehave(fault, times)
 
 
-async def test_an_upstream_gets_the_request_with_what_the_box_adds(site: Site) -> None:
+async def test_an_upstream_gets_the_request_with_the_headers_of_the_box(
+    site: Site,
+) -> None:
     reply = await site.ask('/u/x?y=1', 'r1', Tenant='forged', Expect_Instance='forged')
     worker = next(one for one in site.workers if one.seen)
     seen = worker.seen[0]
@@ -65,7 +67,7 @@
         ('/s/', {'Token_Count': 'many'}, 400),
     ],
 )
-async def test_each_door_keeps_its_rule(
+async def test_each_route_enforces_its_rules(
     site: Site,
     path: str,
     headers: dict[str, str],
@@ -73,11 +75,11 @@
 ) -> None:
     reply = await site.ask(path, 'r1', **headers)
     assert reply.code == status
-    assert ran(site, 'r1') == (status == 200)
+    assert run_count(site, 'r1') == (status == 200)
 
 
 class Case(NamedTuple):
-    """A fault of a pool's upstreams, and what the request comes to."""
+    """A fault of a pool's upstreams, and the expected status and number of runs."""
 
     path: str
     pool: str
@@ -116,11 +118,11 @@
     ask = site.ask_model if case.pool == 'llm' else site.ask
     reply = await ask(case.path, 'r1')
     assert reply.code == case.status
-    assert ran(site, 'r1') == case.runs
+    assert run_count(site, 'r1') == case.runs
 
 
 async def make_first_choice(site: Site, faulty: Worker, fault: Fault) -> None:
-    """Have an upstream chosen first, whose next request meets a fault."""
+    """Have a given upstream chosen first, whose next request meets a fault."""
     faulty.misbehave(fault)
     others = [one for one in of_pool(site, faulty.pool) if one is not faulty]
     chooser = site.boxes[0].admission.dispatcher.chooser
@@ -132,7 +134,7 @@
             record.seconds = 9
 
 
-async def test_a_stream_that_breaks_off_goes_on_elsewhere_without_a_gap(
+async def test_a_broken_stream_resumes_elsewhere_without_a_gap(
     site: Site,
 ) -> None:
     of_pool(site, 'llm')[0].misbehave(Fault.cut)
@@ -149,7 +151,7 @@
     misbehave(site, 'llm', Fault.cut)
     with pytest.raises(HTTPStreamClosedError):
         await site.ask_model('/once/', 'r1')
-    assert ran(site, 'r1') == 1
+    assert run_count(site, 'r1') == 1
 
 
 async def test_a_connection_with_surplus_bytes_is_not_used_again(site: Site) -> None:
@@ -166,27 +168,27 @@
     assert sum(worker.connections for worker in of_pool(site, 'app')) <= 2
 
 
-async def leave_while_served(site: Site) -> None:
-    """Ask for something, and close the connection while an upstream works."""
+async def disconnect_while_served(site: Site) -> None:
+    """Send a request, and close the connection while an upstream serves it."""
     misbehave(site, 'app', Fault.hang, 9)
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     _, writer = await asyncio.open_connection(host, int(port))
     head = f'GET /u/ HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: r1\r\n'
     writer.write(f'{head}Authorization: Token {KEY}\r\n\r\n'.encode())
     async with asyncio.timeout(5):
-        while not ran(site, 'r1'):
+        while not run_count(site, 'r1'):
             await asyncio.sleep(0.01)
     writer.close()
 
 
 async def test_work_of_a_caller_who_leaves_is_cancelled(site: Site) -> None:
-    await leave_while_served(site)
+    await disconnect_while_served(site)
     async with asyncio.timeout(5):
         while not any(worker.left for worker in site.workers):
             await asyncio.sleep(0.01)
 
 
-async def test_the_log_tells_who_had_the_request_of_a_caller_who_left(
+async def test_the_log_names_the_upstream_of_a_request_whose_caller_left(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -196,13 +198,13 @@
         lines.append({'event': event, **fields})
 
     monkeypatch.setattr(admission.logs, 'info', note)
-    await leave_while_served(site)
+    await disconnect_while_served(site)
     async with asyncio.timeout(5):
         while not any(line['event'] == 'request' for line in lines):
             await asyncio.sleep(0.01)
     line = next(one for one in lines if one['event'] == 'request')
-    worker = next(one for one in site.workers if ran(site, 'r1') and one.ran)
-    assert line['outcome'] == admission.CALLER_GONE
+    worker = next(one for one in site.workers if run_count(site, 'r1') and one.ran)
+    assert line['outcome'] == admission.CALLER_DISCONNECTED
     assert (line['upstream'], line['sent']) == (worker.name, 1)
 
 
@@ -214,7 +216,7 @@
     assert reply.code == 504
 
 
-async def test_without_any_upstream_the_request_surely_did_not_run(site: Site) -> None:
+async def test_without_any_upstream_the_request_did_not_run(site: Site) -> None:
     changed = document(2)
     changed['services'] = [{'name': 'llm'}, {'name': 'app'}, {'name': 'none'}]
     routes = changed['routes']
@@ -228,52 +230,52 @@
 
 
 @pytest.mark.parametrize(('busy', 'status'), [(0.5, 200), (1.0, 503)])
-async def test_a_box_without_processor_time_takes_no_further_request(
+async def test_a_box_without_processor_time_accepts_no_further_request(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
     busy: float,
     status: int,
 ) -> None:
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == status
-    assert ran(site, 'r1') == (status == 200)
+    assert run_count(site, 'r1') == (status == 200)
     if status == 503:
-        assert reply.headers['Retry-After'] == str(ELSEWHERE_RETRY_SECONDS)
+        assert reply.headers['Retry-After'] == str(OTHER_BOX_RETRY_SECONDS)
 
 
-async def test_what_a_box_has_no_time_for_is_answered_undecoded(
+async def test_a_shed_request_is_answered_without_being_decoded(
     site: Site,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What a refusal costs is taken from the requests that the box serves: where
-    # all of an account's requests come to one box, from that account's share.
-    unread = replace(DIALECT, read_call=fail_to_read)
-    monkeypatch.setattr(site.boxes[0].admission, 'dialect', unread)
-    monkeypatch.setattr(admission, 'busy_part', lambda: 1.0)
+    # The cost of a refusal reduces what the box can serve; if all requests of an
+    # account reach one box, it reduces the share of that account.
+    unread = replace(DIALECT, read_call=fail_on_decode)
+    monkeypatch.setattr(site.boxes[0].admission, 'adapter', unread)
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: 1.0)
     reply = await site.ask('/u/', 'r1')
     assert reply.code == 503
     assert reply.headers['Attempt-Id'] == 'r1'
     assert not site.boxes[0].admission.tasks
 
 
-def fail_to_read(*given: object) -> Call:
+def fail_on_decode(*given: object) -> Call:
     raise AssertionError(f'decoded: {given}')
 
 
 @pytest.mark.parametrize('path', ['/u/', '/s/'])
-async def test_nothing_is_sent_when_the_callers_time_is_over(
+async def test_nothing_is_sent_after_the_callers_deadline(
     site: Site,
     path: str,
 ) -> None:
-    # A box that had no time itself sent requests on a second after the end.
+    # Guards against a lagging box that forwards requests a second after the deadline.
     dispatcher = site.boxes[0].admission.dispatcher
     scheduler = site.hubs[0].placing.scheduler
     choose = dispatcher.chooser.choose
 
-    async def choose_late(passage: Passage) -> Choice | Refusal:
-        choice = await choose(passage)
-        # The loop does nothing meanwhile, so no timer ends the request.
+    async def choose_late(context: RequestContext) -> Choice | Refusal:
+        choice = await choose(context)
+        # Blocks the event loop, so that no timer cancels the request.
         time.sleep(0.3)
         return choice
 
@@ -284,14 +286,14 @@
     assert not any(
         one.attempt == 'r1' for worker in site.workers for one in worker.seen
     )
-    # Nor does the scheduler take the place for taken.
+    # The scheduler releases the slot as well.
     async with asyncio.timeout(15):
         while scheduler.open:
             await asyncio.sleep(0.01)
 
 
 async def head_of(site: Site) -> str:
-    """Return the head of an answer on a connection that would be kept."""
+    """Return the head of an answer on a connection that is kept alive by default."""
     host, _, port = site.boxes[0].settings.listen.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = ('POST /u/ HTTP/1.1', f'Host: {HOST}', f'Authorization: Token {KEY}')
@@ -311,8 +313,8 @@
     busy: float,
     asked: bool,
 ) -> None:
-    # The connection to a box that refuses at once is always free: one of 24
-    # boxes got a half of all requests, and refused most of them.
-    monkeypatch.setattr(admission, 'busy_part', lambda: busy)
-    monkeypatch.setattr(caller, 'busy_part', lambda: busy)
+    # A box that refuses at once always has a free connection, so callers prefer it:
+    # one of 24 boxes got half of all requests, and refused most of them.
+    monkeypatch.setattr(admission, 'loop_utilization', lambda: busy)
+    monkeypatch.setattr(caller, 'loop_utilization', lambda: busy)
     assert ('Connection: close' in await head_of(site)) == asked
--- a/tests/edge/test_platform_requests.py
+++ b/tests/edge/test_platform_requests.py
@@ -1,10 +1,10 @@
-"""What of a caller's headers reaches an upstream."""
+"""Headers of a caller that reach an upstream."""
 
 import pytest
 
 from hitchdeck_core.ids import AccountName
-from hitchdeck_core.retry_after import LONGEST_SECONDS
-from hitchdeck_edge.model.dialect import Forwarding
+from hitchdeck_core.retry_after import MAX_RETRY_AFTER_SECONDS
+from hitchdeck_edge.model.adapter import Forwarding
 from hitchdeck_edge.model.refusals import Refusal
 from hitchdeck_platform.requests import forward_headers, read_answer, read_call
 from tests.common.scheduling import engine
@@ -32,7 +32,7 @@
 )
 @pytest.mark.parametrize('change_case', [str, str.lower, str.upper, str.swapcase])
 @pytest.mark.parametrize('times', [1, 2])
-def test_fields_of_the_system_never_come_from_a_caller(
+def test_system_headers_are_never_taken_from_a_caller(
     name: str,
     change_case: type[str],
     times: int,
@@ -51,7 +51,9 @@
         ('Deadline-Ms', b'1500'),
     ],
 )
-def test_what_the_system_sets_stands_once_and_is_its_own(name: str, own: bytes) -> None:
+def test_system_headers_appear_once_with_the_value_of_the_box(
+    name: str, own: bytes
+) -> None:
     headers = forwarded((name, '7'), (name.lower(), '8'))
     texts = [text for one, text in headers if one.lower() == name.lower().encode()]
     assert texts == [own]
@@ -71,7 +73,7 @@
         ('', 900),
     ],
 )
-def test_the_callers_estimate_tells_what_an_engine_will_make(
+def test_the_callers_estimate_sets_the_expected_output(
     hint: str | None,
     expected: int,
 ) -> None:
@@ -80,7 +82,7 @@
         given.append(('Length-Hint', hint))
     call = read_call('POST', '/a/b', given)
     assert call.prompt is not None
-    assert call.prompt.expected_made == expected
+    assert call.prompt.expected_output_tokens == expected
 
 
 @pytest.mark.parametrize(
@@ -94,15 +96,15 @@
         ('X-Hold', 'own of the caller'),
     ],
 )
-def test_what_a_caller_says_of_its_request_passes_unchanged(
+def test_request_headers_of_a_caller_are_forwarded_unchanged(
     header: tuple[str, str],
 ) -> None:
     name, text = header
     assert (name.encode(), text.encode()) in forwarded(header)
 
 
-def test_no_two_refusals_are_taken_for_each_other() -> None:
-    # Equal answers made one name an alias of the other, and logs told the wrong one.
+def test_refusals_are_distinct() -> None:
+    # Enum members with equal answers become aliases, and logs name the wrong one.
     assert len(Refusal.__members__) == len(list(Refusal))
 
 
@@ -117,22 +119,22 @@
         (503, '', 0),
         (503, 'soon', 0),
         (503, 'nan', 0),
-        (503, 'inf', LONGEST_SECONDS),
-        (503, '9' * 400, LONGEST_SECONDS),
+        (503, 'inf', MAX_RETRY_AFTER_SECONDS),
+        (503, '9' * 400, MAX_RETRY_AFTER_SECONDS),
         (503, 'Thu, 01 Jan 1970 00:00:00 GMT', 0),
-        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', LONGEST_SECONDS),
+        (503, 'Fri, 31 Dec 9999 23:59:59 GMT', MAX_RETRY_AFTER_SECONDS),
         (500, '3', 0),
         (200, '3', 0),
         (421, '3', 0),
     ],
 )
-def test_an_upstream_that_turns_a_request_away_says_for_how_long(
+def test_the_backoff_of_a_rejected_request_is_read(
     status: int,
     given: str,
     pause: float,
 ) -> None:
     mark = read_answer(status, [(b'retry-after', given.encode())])
-    assert mark.pause == pause
+    assert mark.backoff == pause
 
 
 @pytest.mark.parametrize(
@@ -143,11 +145,11 @@
         (500, [(b'SERVER-LEAVING', b'1')], True),
         (200, [(b'Server-Leaving', b'0')], False),
         (200, [], False),
-        # Another upstream answers at this address.
+        # The answer comes from another upstream at this address.
         (421, [(b'Server-Leaving', b'1')], False),
     ],
 )
-def test_an_upstream_says_in_its_answers_that_it_leaves(
+def test_an_upstream_announces_its_drain_in_its_answers(
     status: int,
     headers: list[tuple[bytes, bytes]],
     leaving: bool,
--- a/tests/edge/test_recovery.py
+++ b/tests/edge/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a fleet knows again right after a restart."""
+"""State that a fleet recovers right after a restart."""
 
 import asyncio
 import json
@@ -8,12 +8,12 @@
 import pytest
 
 from hitchdeck_core.clock import boot_seconds
-from hitchdeck_core.ids import Address, LifeId, PoolName, UpstreamName
+from hitchdeck_core.ids import Address, PoolName, UpstreamIncarnation, UpstreamName
 from hitchdeck_core.quarantine.fingerprints import Fingerprint
 from hitchdeck_core.quarantine.quarantine import Quarantine
 from hitchdeck_core.signals import Signal
-from hitchdeck_edge.hub.kept_file import (
-    KeptFile,
+from hitchdeck_edge.hub.state_file import (
+    StateFile,
     document_file,
     quarantine_file,
     upstreams_file,
@@ -34,10 +34,10 @@
     )
 
 
-async def until_written(file: KeptFile) -> None:
+async def until_written(file: StateFile) -> None:
     task = asyncio.create_task(file.run())
     async with asyncio.timeout(10):
-        while file.written < file.kept.stamp():
+        while file.written < file.codec.version():
             await asyncio.sleep(0.01)
     task.cancel()
 
@@ -63,11 +63,11 @@
         before.merge(record, 'test')
     await until_written(upstreams_file(tmp_path, before))
     after = Registry(boot_seconds, Signal())
-    upstreams_file(tmp_path, after).recall()
+    upstreams_file(tmp_path, after).restore()
     assert after.records == before.records
 
 
-async def test_an_upstream_that_reports_no_more_falls_silent_after_a_recall(
+async def test_a_recalled_upstream_without_reports_becomes_unresponsive(
     tmp_path: Path,
 ) -> None:
     before = Registry(boot_seconds, Signal())
@@ -75,33 +75,31 @@
     await until_written(upstreams_file(tmp_path, before))
     clock = [100.0]
     after = Registry(lambda: clock[0], Signal())
-    upstreams_file(tmp_path, after).recall()
+    upstreams_file(tmp_path, after).restore()
     clock[0] += 5
-    after.silence(4.8)
-    assert after.records[UpstreamName('lost')].silent
+    after.mark_unresponsive(4.8)
+    assert after.records[UpstreamName('lost')].unresponsive
 
 
-async def test_a_quarantine_outlives_a_restart_of_everything(tmp_path: Path) -> None:
+async def test_a_quarantine_survives_a_full_restart(tmp_path: Path) -> None:
     lethal = Fingerprint(b'lethal')
     before = Quarantine(boot_seconds, Signal())
     for number in range(3):
-        before.note_end(LifeId(f'e{number}'), [lethal])
+        before.record_crash(UpstreamIncarnation(f'e{number}'), [lethal])
     await until_written(quarantine_file(tmp_path, before))
     after = Quarantine(boot_seconds, Signal())
-    quarantine_file(tmp_path, after).recall()
-    assert after.holds(lethal)
+    quarantine_file(tmp_path, after).restore()
+    assert after.is_quarantined(lethal)
 
 
 @pytest.mark.parametrize('content', [b'', b'no frame', b'\x00' * 40])
 @pytest.mark.parametrize('kept', ['document', 'upstreams'])
-def test_a_damaged_file_is_passed_over(
-    content: bytes, kept: str, tmp_path: Path
-) -> None:
+def test_a_damaged_file_is_ignored(content: bytes, kept: str, tmp_path: Path) -> None:
     (tmp_path / kept).write_bytes(content)
     documents = Documents(read_document, Signal())
     registry = Registry(boot_seconds, Signal())
-    document_file(tmp_path, documents).recall()
-    upstreams_file(tmp_path, registry).recall()
+    document_file(tmp_path, documents).restore()
+    upstreams_file(tmp_path, registry).restore()
     assert documents.version == DocumentVersion(0)
     assert not registry.records
 
@@ -110,7 +108,7 @@
     ('arrives', 'status', 'reason'),
     [(True, 404, b'no route'), (False, 503, b'no document')],
 )
-async def test_a_request_waits_a_little_for_the_first_document(
+async def test_a_request_waits_briefly_for_the_first_document(
     arrives: bool,
     status: int,
     reason: bytes,
--- a/tests/edge/test_registry.py
+++ b/tests/edge/test_registry.py
@@ -1,4 +1,4 @@
-"""What is kept and passed on of upstreams, and what is forgotten."""
+"""Upstream state that is kept and propagated, and when it expires."""
 
 from dataclasses import replace
 
@@ -7,35 +7,35 @@
 from hitchdeck_core.ids import UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.model.upstreams import Phase
-from hitchdeck_edge.scheduling.books import Books
+from hitchdeck_edge.scheduling.open_work import OpenWorkTable
 from hitchdeck_edge.scheduling.placement import Placement
-from hitchdeck_edge.state.registry import GONE_KEPT_SECONDS, Registry
+from hitchdeck_edge.state.registry import GONE_RETENTION_SECONDS, Registry
 from tests.common.scheduling import FakeClock, engine, prompt
 
 
 @pytest.mark.parametrize('phase', [Phase.serving, Phase.gone])
-def test_only_upstreams_that_are_gone_are_forgotten(phase: Phase) -> None:
+def test_only_gone_upstreams_expire(phase: Phase) -> None:
     clock = FakeClock()
     registry = Registry(clock, Signal())
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
-    placement.memory.note(UpstreamName('e0'), prompt())
-    placement.health.err(UpstreamName('e0'))
+    placement.prefix_cache.record_prompt(UpstreamName('e0'), prompt())
+    placement.health.record_error(UpstreamName('e0'))
     registry.merge(replace(engine('e0'), sequence=2, phase=phase), 'test')
     placement.forget_gone()
     known = phase is Phase.serving
-    assert bool(placement.memory.engines) is known
+    assert bool(placement.prefix_cache.engines) is known
     assert bool(placement.health.records) is known
     assert registry.records
-    clock.seconds += GONE_KEPT_SECONDS + 1
+    clock.seconds += GONE_RETENTION_SECONDS + 1
     placement.forget_gone()
     assert bool(registry.records) is known
     assert bool(registry.holders) is known
 
 
 @pytest.mark.parametrize('change', [{'domain': 'b'}, {'slots': 3}, {'cleared_by': 9}])
-def test_whatever_changes_in_a_report_is_passed_on(change: dict[str, object]) -> None:
-    # Found by reading: a change of domain or slots alone was kept back.
+def test_every_change_in_a_report_is_propagated(change: dict[str, object]) -> None:
+    # Guards against withholding a report in which only the domain or slots changed.
     registry = Registry(FakeClock(), Signal())
     registry.merge(engine('e0'), 'test')
     seen = registry.changes
@@ -44,17 +44,17 @@
     assert not registry.merge(replace(engine('e0'), sequence=3, **change), 'test')
 
 
-def test_what_was_learned_of_an_upstream_goes_with_its_record() -> None:
-    # Found by reading: one that fell silent for good was remembered for ever.
+def test_learned_state_expires_with_the_upstream_record() -> None:
+    # Guards against keeping state of an upstream that never reports again.
     clock = FakeClock()
     registry = Registry(clock, Signal())
-    placement = Placement(registry, Books(clock))
+    placement = Placement(registry, OpenWorkTable(clock))
     registry.merge(engine('e0'), 'test')
-    placement.memory.note(UpstreamName('e0'), prompt())
-    registry.silence(0.0)
+    placement.prefix_cache.record_prompt(UpstreamName('e0'), prompt())
+    registry.mark_unresponsive(0.0)
     clock.seconds += 1
-    registry.silence(0.5)
-    clock.seconds += GONE_KEPT_SECONDS + 1
+    registry.mark_unresponsive(0.5)
+    clock.seconds += GONE_RETENTION_SECONDS + 1
     placement.forget_gone()
     assert not registry.records
-    assert not placement.memory.engines
+    assert not placement.prefix_cache.engines
--- a/tests/edge/test_scheduler_link.py
+++ b/tests/edge/test_scheduler_link.py
@@ -1,4 +1,4 @@
-"""A box's link to its scheduler, where the scheduler does not behave."""
+"""The link of a box to a scheduler that is slow, silent or lost."""
 
 import asyncio
 import time
@@ -7,13 +7,13 @@
 
 import pytest
 
-from hitchdeck_core.channels import fleet_only, serve
+from hitchdeck_core.channels import require_fleet_token, serve
 from hitchdeck_core.clock import boot_seconds
 from hitchdeck_core.ids import Address, BoxName, UpstreamName
 from hitchdeck_core.signals import Signal
 from hitchdeck_edge.hub.placing import FleetSize, PlacingService
 from hitchdeck_edge.links import placing
-from hitchdeck_edge.links.hubs import HubBook
+from hitchdeck_edge.links.known_hubs import KnownHubs
 from hitchdeck_edge.links.placing import PlacingLink
 from hitchdeck_edge.model.placing import Choice
 from hitchdeck_edge.scheduling.shares import Shares
@@ -25,19 +25,19 @@
 
 
 async def read_on(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
-    """Take every byte and say nothing, as a host behind a cut seems to."""
+    """Read every byte and send nothing, like a host behind a network partition."""
     await reader.read()
 
 
 async def read_nothing(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Take no byte, as a process that is stopped."""
+    """Read nothing, as a process that is stopped."""
     await asyncio.sleep(60)
     writer.close()
 
 
 @asynccontextmanager
 async def silent_hub(serving: Serving) -> AsyncIterator[Address]:
-    """Run a hub that answers nothing."""
+    """Run a hub that never answers."""
     server = await asyncio.start_server(serving, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     try:
@@ -48,9 +48,9 @@
 
 @asynccontextmanager
 async def running_link(hub: Address) -> AsyncIterator[PlacingLink]:
-    """Run a link to the only hub that is known."""
-    book = HubBook(BoxName('box'), 'a', [hub], boot_seconds)
-    book.reach(hub)
+    """Run a link to the only known hub."""
+    book = KnownHubs(BoxName('box'), 'a', [hub], boot_seconds)
+    book.mark_reachable(hub)
     registry = Registry(boot_seconds, Signal())
     link = PlacingLink('box', book, registry, 'token', Shares(4, boot_seconds))
     task = asyncio.create_task(link.run())
@@ -69,32 +69,32 @@
 
 
 @pytest.mark.parametrize('serving', [read_on, read_nothing])
-async def test_a_scheduler_that_is_lost_without_a_word_is_left(
+async def test_a_scheduler_lost_without_a_close_is_abandoned(
     serving: Serving,
 ) -> None:
-    # Accounts got unequal shares: four boxes waited 60 ms for each of 1,300
-    # answers of a hub that had lost power, and each shared capacity by itself:
-    # the call to leave the stream waited for the hub's first word.
+    # Guards against unequal shares: four boxes waited 60 ms for each of 1,300
+    # answers of a hub that had lost power, and each then shared out capacity by
+    # itself, because closing the stream waited for the first message of the hub.
     async with silent_hub(serving) as hub, running_link(hub) as link:
         await reached(link, connected=True)
-        link.book.lose(hub)
+        link.known_hubs.mark_unreachable(hub)
         await reached(link, connected=False)
         assert link.scheduler is None
 
 
-async def test_word_of_progress_goes_out_without_being_polled_for() -> None:
+async def test_progress_is_sent_without_polling() -> None:
     async with silent_hub(read_on) as hub, running_link(hub) as link:
         await reached(link, connected=True)
         async with asyncio.timeout(15):
             for number in range(50):
-                link.fail(UpstreamName(str(number)))
+                link.report_failure(UpstreamName(str(number)))
                 while link.outbox.frame.ByteSize():
                     await asyncio.sleep(0.001)
         assert link.scheduler == hub
 
 
 @pytest.mark.parametrize('serving', [read_on, read_nothing])
-async def test_a_scheduler_that_does_not_answer_is_left(serving: Serving) -> None:
+async def test_a_scheduler_that_does_not_answer_is_abandoned(serving: Serving) -> None:
     async with silent_hub(serving) as hub, running_link(hub) as link:
         await reached(link, connected=True)
         async with asyncio.timeout(15):
@@ -102,18 +102,18 @@
                 assert await link.place(wanted()) is None
 
 
-async def test_the_next_scheduler_is_attended_at_once(
+async def test_the_next_scheduler_is_connected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A pause here left every box to place by itself for 0.3 s after a change.
-    monkeypatch.setattr(placing, 'RETRY_SECONDS', 1000)
+    # A delay here makes every box place by itself for 0.3 s after a change.
+    monkeypatch.setattr(placing, 'MAX_RETRY_DELAY_SECONDS', 1000)
     async with (
         silent_hub(read_on) as first,
         silent_hub(read_on) as second,
         running_link(first) as link,
     ):
         await reached(link, connected=True)
-        link.book.live = {second}
+        link.known_hubs.reachable = {second}
         async with asyncio.timeout(15):
             while link.scheduler != second:
                 await asyncio.sleep(0.01)
@@ -125,7 +125,7 @@
     clock = FakeClock()
     service = PlacingService(scheduler_of(clock, 1), FleetSize(lambda: 1, clock))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     try:
         yield address
     finally:
@@ -133,37 +133,37 @@
 
 
 @pytest.mark.parametrize('seconds', [0.15, 0.3])
-async def test_a_box_that_is_late_itself_does_not_take_its_scheduler_for_lost(
+async def test_a_lagging_box_does_not_take_its_scheduler_for_lost(
     seconds: float,
 ) -> None:
-    # A box in a flooded domain had no processor time left: it gave up answers
-    # that lay unread, and refused two of three requests by itself.
+    # Guards against a box without processor time, in an overloaded domain, that
+    # abandons unread answers: it refused two of three requests by itself.
     async with prompt_hub() as hub, running_link(hub) as link:
         link.registry.merge(engine('e0'), 'test')
         await reached(link, connected=True)
         asked = asyncio.create_task(link.place(wanted()))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        # The box does nothing for a while, as one whose share is used up.
+        # Blocks the event loop, as in a box whose processor share is used up.
         time.sleep(seconds)
         assert isinstance(await asked, Choice)
         assert not link.unanswered
 
 
 @pytest.mark.parametrize(('busy', 'learned'), [(0.2, True), (0.95, False)])
-async def test_nothing_is_learned_of_engines_from_a_box_without_time(
+async def test_nothing_is_learned_of_engines_from_a_lagging_box(
     monkeypatch: pytest.MonkeyPatch,
     busy: float,
     learned: bool,
 ) -> None:
-    # A flooded box noted first events seconds late; the scheduler took every
-    # engine for slow and refused what other domains asked for.
-    monkeypatch.setattr(placing, 'busy_part', lambda: busy)
+    # Guards against an overloaded box that records first events seconds late: the
+    # scheduler took every engine for slow and refused requests of other domains.
+    monkeypatch.setattr(placing, 'loop_utilization', lambda: busy)
     clock = FakeClock()
     scheduler = scheduler_of(clock, 1)
     service = PlacingService(scheduler, FleetSize(lambda: 1, scheduler.now))
     address = free_address()
-    server = await serve([service], address, fleet_only('token'))
+    server = await serve([service], address, require_fleet_token('token'))
     async with running_link(address) as link:
         link.registry.merge(engine('e0'), 'test')
         await reached(link, connected=True)
@@ -171,15 +171,15 @@
         assert isinstance(choice, Choice)
         clock.seconds += 3
         link.track(choice.ticket, choice.upstream.name, choice.tokens)
-        link.start(choice.ticket)
+        link.record_start(choice.ticket)
         async with asyncio.timeout(15):
-            while scheduler.placement.books.waiting(choice.upstream.name):
+            while scheduler.placement.open_work.waiting(choice.upstream.name):
                 await asyncio.sleep(0.01)
-        link.end(choice.ticket)
+        link.record_end(choice.ticket)
         async with asyncio.timeout(15):
             while scheduler.open:
                 await asyncio.sleep(0.01)
     server.close()
-    pace = scheduler.placement.pace
-    assert bool(pace.seconds) == learned
-    assert bool(pace.run_seconds) == learned
+    speed = scheduler.placement.speed
+    assert bool(speed.seconds) == learned
+    assert bool(speed.run_seconds) == learned
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets its own whole answer, or a true word of what ran."""
+"""Each caller gets its own complete answer, or an accurate error on what ran."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
 
 
 def client_of(fleet: Fleet, key: str = callers.KEYS['bob']) -> AsyncOpenAI:
-    """Return the official client."""
+    """Return an official OpenAI client that calls a router of the fleet."""
     url = f'http://127.0.0.1:{fleet.routers[0].port}/v1'
     return AsyncOpenAI(base_url=url, api_key=key, max_retries=0)
 
@@ -76,10 +76,10 @@
 
 
 async def _logged(log: Path, request: str) -> dict[str, object]:
-    # The line follows the answer's last byte, so the caller may be first.
+    # The line is logged after the answer's last byte, so it may be missing yet.
     async with asyncio.timeout(10):
         while True:
-            # The last piece is empty, or a line that is still being written.
+            # The last element is empty, or a line that is still being written.
             for line in log.read_text().split('\n')[:-1]:
                 fields: dict[str, object] = json.loads(line)
                 if fields.get('request') == request:
@@ -151,8 +151,8 @@
     assert callers.runs_of(fleet) == runs
 
 
-def ask_slowly(port: int, body_bytes: int) -> bytes:
-    """Send a large body in pieces, whatever comes meanwhile; return what came."""
+def send_in_parts(port: int, body_bytes: int) -> bytes:
+    """Send a large body in parts without reading; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
     with socket.create_connection(('127.0.0.1', port), timeout=20) as connection:
@@ -166,16 +166,16 @@
 async def test_a_caller_that_is_refused_while_it_sends_gets_its_answer(
     fleet: Fleet,
 ) -> None:
-    # The router answered and closed with unread bytes of the body: the reset
-    # reached a caller that was still sending, which never read the answer.
+    # Guards against a close while bytes of the body are unread: the kernel resets
+    # the connection, and a caller that is still sending never reads the answer.
     port = fleet.routers[0].port
-    answer = await asyncio.to_thread(ask_slowly, port, 40 * PIECE_BYTES)
+    answer = await asyncio.to_thread(send_in_parts, port, 40 * PIECE_BYTES)
     assert answer.startswith(b'HTTP/1.1 413')
     assert b'too-large' in answer
 
 
-def ask_in_chunks(port: int, pieces: int) -> bytes:
-    """Send a large body in chunks, without its length; return what came."""
+def send_in_chunks(port: int, pieces: int) -> bytes:
+    """Send a large body in chunks, without its length; return the response."""
     key = callers.KEYS['ann']
     head = f'POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n'
     with socket.create_connection(('127.0.0.1', port), timeout=20) as connection:
@@ -187,9 +187,9 @@
 
 
 async def test_a_body_that_grows_too_large_is_answered_at_its_end(fleet: Fleet) -> None:
-    # Nothing was answered before, so the connection must not be closed however
-    # much comes.
-    answer = await asyncio.to_thread(ask_in_chunks, fleet.routers[0].port, 400)
+    # No answer has been sent before the end, so the connection must stay open
+    # however large the body grows.
+    answer = await asyncio.to_thread(send_in_chunks, fleet.routers[0].port, 400)
     assert answer.startswith(b'HTTP/1.1 413')
 
 
@@ -228,7 +228,7 @@
     assert not check_own_answers(pairs)
 
 
-async def test_no_engine_left_is_said_truly(fleet: Fleet) -> None:
+async def test_the_error_without_any_engine_is_accurate(fleet: Fleet) -> None:
     for engine in fleet.engines:
         await callers.set_faults(engine, die_after=0)
     reply = await callers.chat(fleet.routers[1], 'nobody')
@@ -319,7 +319,7 @@
     assert callers.begun_at(fleet, fleet.engines[1])[-1] > left_at + 3
 
 
-async def test_drained_box_is_handed_out_no_more(fleet: Fleet) -> None:
+async def test_address_of_a_drained_box_is_not_returned(fleet: Fleet) -> None:
     drained = f'127.0.0.1:{fleet.routers[1].port}'
 
     async def handed_out() -> list[str]:
@@ -346,7 +346,7 @@
         if drained not in await handed_out():
             return
         await asyncio.sleep(0.05)
-    raise AssertionError('still handed out')
+    raise AssertionError('the address of the drained box is still returned')
 
 
 @pytest.mark.parametrize(
@@ -363,7 +363,7 @@
         (('apply', 'missing.toml'), 2, 'missing.toml'),
     ],
 )
-def test_operators_mistakes_end_in_one_clear_line(
+def test_operator_errors_print_one_clear_line(
     fleet: Fleet,
     arguments: tuple[str, ...],
     code: int,
--- a/tests/fuzz/test_foreign_entries_fuzz.py
+++ b/tests/fuzz/test_foreign_entries_fuzz.py
@@ -1,8 +1,8 @@
-"""What another writer sends in an upstream's name names no upstream to use.
+"""Malformed upstream records from other writers are rejected.
 
-Fields are missing or of another type, huge or nested, or nothing can be read at all.
-The sender is told which field, the log line stays short, and whoever was known before
-is known as before.
+Fields are missing, of a wrong type, huge or nested, or the record cannot be parsed at
+all.  The error names the field, the log line stays short, and the records of known
+upstreams do not change.
 """
 
 import contextlib
@@ -19,8 +19,8 @@
 from hitchdeck_edge.links.records import decode_upstreams, encode_upstream
 from hitchdeck_edge.model.upstreams import Phase
 from hitchdeck_edge.state.registry import Registry
-from hitchdeck_platform.documents import UNREADABLE
-from hitchdeck_platform.doors import decode_departure, decode_upstream
+from hitchdeck_platform.documents import DECODE_ERRORS
+from hitchdeck_platform.hub_api import decode_departure, decode_upstream
 from tests.common.scheduling import FakeClock
 
 SOUND = {
@@ -50,10 +50,10 @@
 
 
 def reason_of(body: Any) -> str:
-    """Return why an entry is refused, blank if it is taken."""
+    """Return why an entry is rejected, or an empty string if it is accepted."""
     try:
         decode_upstream('e0', body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         return str(error)
     return ''
 
@@ -91,7 +91,7 @@
 def test_a_departure_that_cannot_be_read_is_refused_as_such(body: bytes) -> None:
     try:
         born = decode_departure(body)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return
     assert born >= 0
 
@@ -115,7 +115,7 @@
     registry.merge(decode_upstream('e0', SOUND), 'test')
     for body in bodies:
         read = json.loads(json.dumps(body, default=str))
-        with contextlib.suppress(*UNREADABLE):
+        with contextlib.suppress(*DECODE_ERRORS):
             registry.merge(decode_upstream('other', read), 'test')
     kept = registry.serving(PoolName('llm'))
     assert [one.phase for one in kept] == [Phase.serving]
--- a/tests/fuzz/test_machine_fuzz.py
+++ b/tests/fuzz/test_machine_fuzz.py
@@ -1,12 +1,12 @@
-"""Commands, versions and the ledger against plain dictionaries.
+"""Commands, versions and claims of the state machine against plain dictionaries.
 
-Snapshots and reloads happen at any point and must change nothing.
+Snapshots and reloads happen at any point and must not change the state.
 """
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hitchdeck_control.machine.machine import Machine
+from hitchdeck_control.machine.state_machine import StateMachine
 from hitchdeck_core.commands import Command, Delete
 from hitchdeck_core.outcomes import Applied, Granted, Outcome, Pending, Refused, Settled
 from tests.cover.test_machine import RETENTION, claim, put, settle, submit
@@ -17,11 +17,11 @@
 
 
 class CommandMachine(RuleBasedStateMachine):
-    """Racing operators, resends, callers with keys, and restarts."""
+    """Concurrent operators, resent commands, idempotency keys and restarts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.machine = Machine(RETENTION)
+        self.machine = StateMachine(RETENTION)
         self.versions: dict[str, int] = {}
         self.version = 0
         self.answers: dict[tuple[str, int], tuple[Command, Outcome]] = {}
@@ -56,19 +56,19 @@
 
     @rule()
     def reload(self) -> None:
-        """Go through a snapshot."""
+        """Reload the machine from a snapshot of itself."""
         encoded = self.machine.dump()
-        self.machine = Machine(RETENTION)
+        self.machine = StateMachine(RETENTION)
         self.machine.load(encoded)
 
     @rule(seconds=st.floats(0, 40))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
 
     @rule(request=st.sampled_from(['r1', 'r2', 'r3']))
     def claim_key(self, request: str) -> None:
-        """Ask to run the one request of this key."""
+        """Claim the key for a request."""
         outcome = submit(self.machine, claim(request=request), taken_at=self.now)
         if self.now >= 1000 + RETENTION:
             assert isinstance(outcome, Refused)
@@ -87,7 +87,7 @@
         ran=st.sampled_from(['ran', 'not-run', 'unknown']),
     )
     def settle_key(self, request: str, ran: str) -> None:
-        """Say how a run ended."""
+        """Settle the claim with the outcome of the run."""
         submit(self.machine, settle(ran, request), taken_at=self.now)
         if request != self.holder or self.settled:
             return
@@ -99,12 +99,12 @@
 
     @invariant()
     def at_most_one_run_is_granted(self) -> None:
-        """Whoever was granted and did not give back is alone."""
+        """At most one request holds the claim of the key."""
         assert len(self.granted) <= 1
 
     @invariant()
     def configuration_is_that_of_the_model(self) -> None:
-        """Resources and their versions agree."""
+        """Resources and their versions agree with the model."""
         kept = self.machine.state.resources
         assert {key: one.version for key, one in kept.items()} == {
             f'account/{name}': version for name, version in self.versions.items()
@@ -125,7 +125,7 @@
 
     def _expected(self, command: Command, name: str) -> Outcome:
         present = self.versions.get(name, 0)
-        outcome = submit(Machine(RETENTION), command)
+        outcome = submit(StateMachine(RETENTION), command)
         if isinstance(command, Delete):
             if not present:
                 assert isinstance(outcome, Refused)
--- a/tests/fuzz/test_soft_state_fuzz.py
+++ b/tests/fuzz/test_soft_state_fuzz.py
@@ -1,7 +1,7 @@
-"""Registries that exchange records of upstreams settle, whatever the order.
+"""Registries that exchange records of upstreams converge in any order of messages.
 
-Two hubs that differed in nothing but a suspicion used to send each other the record for
-ever: whichever value came last won, at an unchanged sequence.
+Guards against two hubs that differ only in a suspicion and send each other the record
+forever, because the last value received wins at an unchanged sequence number.
 """
 
 from functools import partial
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bench.settling import PERIOD, POOL, Fleet, report, view_of
-from hitchdeck_core.ids import InstanceName, LifeId, UpstreamName
+from hitchdeck_core.ids import InstanceName, UpstreamIncarnation, UpstreamName
 from hitchdeck_edge.hub.liveness import Liveness
 from hitchdeck_edge.links.records import decode_suspicion, encode_suspicion
 from hitchdeck_edge.state.registry import Registry
@@ -55,8 +55,8 @@
 )
 
 
-class Play:
-    """Applies drawn events to a fleet."""
+class EventRunner:
+    """Applies generated events to a fleet."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -78,7 +78,7 @@
 
     def silence(self, registry: Registry, extra: int) -> None:
         self.clock.seconds += SILENCE_SECONDS * extra / 4
-        registry.silence(SILENCE_SECONDS)
+        registry.mark_unresponsive(SILENCE_SECONDS)
 
     def deliver(self, number: int, *, again: bool) -> None:
         links = self.fleet.links
@@ -97,19 +97,19 @@
 
 
 def suspect(registry: Registry, instance: str) -> None:
-    known = registry.newest_life(InstanceName(instance))
-    registry.suspect(LifeId(known.name if known else instance))
+    known = registry.latest_incarnation(InstanceName(instance))
+    registry.suspect(UpstreamIncarnation(known.name if known else instance))
 
 
 @given(EVENTS, st.integers(0, 2**16))
-def test_all_end_alike_after_a_bounded_number_of_records(
+def test_all_registries_converge_after_a_bounded_number_of_records(
     events: list[Event], seed: int
 ) -> None:
-    play = Play()
+    runner = EventRunner()
     for event in events:
-        play.apply(event)
-    fleet = play.fleet
-    # Each event changes a record and the one that held its address; each hub may
+        runner.apply(event)
+    fleet = runner.fleet
+    # Each event changes a record and the previous holder of its address; each hub may
     # suspect the holder of an address once for each incarnation that moves there.
     incarnations = len(INSTANCES) * len(BORN) * len(ADDRESSES)
     changes = 2 * len(events) + HUBS * incarnations
@@ -122,9 +122,9 @@
     fleet = fleet_of()
     fleet.hubs[0].report(report('e0', 1))
     assert fleet.settle(Random(0), 2 * len(fleet.links))
-    fleet.registries[0].suspect(LifeId('e0'))
+    fleet.registries[0].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
-    # Another hub hears of the upstream while the suspicion is on its way.
+    # Another hub hears from the upstream while the suspicion is in flight.
     fleet.registries[1].hear(UpstreamName('e0'))
     rounds = 0
     while fleet.exchange():
@@ -142,14 +142,14 @@
     fleet = fleet_of()
     fleet.hubs[reporter].report(report('e0', 1))
     assert fleet.settle(Random(0), 2 * len(fleet.links))
-    # Unchanged reports are not passed on: the others still know the first one.
+    # Unchanged reports are not propagated: the other hubs keep the first one.
     fleet.hubs[reporter].report(report('e0', 2))
-    fleet.registries[suspecting].suspect(LifeId('e0'))
+    fleet.registries[suspecting].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     fleet.hubs[reporter].report(report('e0', 3))
     for _ in range(2):
         fleet.exchange()
-    silent = [one.serving(POOL)[0].silent for one in fleet.registries]
+    silent = [one.serving(POOL)[0].unresponsive for one in fleet.registries]
     assert not any(silent)
 
 
@@ -159,13 +159,13 @@
     assert fleet.settle(Random(0), 2 * len(fleet.links))
     fleet.links = list(product(range(HUBS), range(HUBS, HUBS + BOXES)))
     fleet.hubs[0].report(report('e0', 2))
-    fleet.registries[1].suspect(LifeId('e0'))
+    fleet.registries[1].suspect(UpstreamIncarnation('e0'))
     fleet.exchange()
     boxes = fleet.registries[HUBS:]
-    assert all(box.serving(POOL)[0].silent for box in boxes)
+    assert all(box.serving(POOL)[0].unresponsive for box in boxes)
     for suspicion in boxes[0].suspicions_since(0):
         fleet.registries[0].merge_suspicion(
             decode_suspicion(encode_suspicion(suspicion))
         )
     fleet.exchange()
-    assert not any(box.serving(POOL)[0].silent for box in boxes)
+    assert not any(box.serving(POOL)[0].unresponsive for box in boxes)
--- a/tools/switch_off.py
+++ b/tools/switch_off.py
@@ -1,10 +1,11 @@
-"""Switch mechanisms off, one at a time, and see their tests fail.
+"""Mutation check: disable one mechanism at a time and expect its test to fail.
 
-For each row, a scratch copy of the tree is changed in one place and the test
-that proves the mechanism is run on it.  A test that passes all the same
-proves nothing, and the script says so and exits with 1.
+For each mechanism, one place of a scratch copy of the tree is changed and the
+test that covers the mechanism is run there.  A test that still passes does not
+cover the mechanism; the script reports it and exits with 1.
 
-``.venv/bin/python tools/switch_off.py [word]`` runs the rows with that word.
+``.venv/bin/python tools/switch_off.py [word]`` checks only the mechanisms
+whose name contains the word.
 """
 
 import os
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What is switched off, by which change, and the test that must notice."""
+    """A mechanism, the change that disables it, and the test that must fail."""
 
     name: str
     path: str
@@ -36,9 +37,9 @@
     Mechanism(
         'pre-vote',
         f'{_CONTROL}/raft/election.py',
-        'if not await _wins_round(replica, links, replica.term + 1, pre_vote=True):\n'
+        'if not await _wins_vote(replica, client, replica.term + 1, pre_vote=True):\n'
         '        return\n',
-        'await _wins_round(replica, links, replica.term + 1, pre_vote=True)\n',
+        'await _wins_vote(replica, client, replica.term + 1, pre_vote=True)\n',
         'test_return_after_a_long_cut_does_not_depose',
     ),
     Mechanism(
@@ -64,23 +65,23 @@
     ),
     Mechanism(
         'answers remembered by number',
-        f'{_CONTROL}/machine/machine.py',
-        'remembering.remember(self.state, submission, outcome)',
+        f'{_CONTROL}/machine/state_machine.py',
+        'deduplication.record_outcome(self.state, submission, outcome)',
         'pass',
         'test_resend_gets_the_first_answer',
     ),
     Mechanism(
         'version check of writes',
         f'{_CONTROL}/machine/configuration.py',
-        'if write.based_on not in {None, present}:',
+        'if write.based_on not in {None, current_version}:',
         'if False:',
         'test_one_of_two_racing_writes_wins',
     ),
     Mechanism(
         'lease counted from when it was asked for',
         f'{_ROUTER}/fleet/lease.py',
-        'self.until = max(self.until, sent_at + seconds * _DRIFT_SHARE)',
-        'self.until = self.now() + seconds * _DRIFT_SHARE',
+        'self.expires_at = max(self.expires_at, sent_at + seconds * _DRIFT_FACTOR)',
+        'self.expires_at = self.now() + seconds * _DRIFT_FACTOR',
         'test_lease_counts_from_when_it_was_asked_for',
     ),
     Mechanism(
@@ -93,15 +94,15 @@
     Mechanism(
         'lease checked before dispatch',
         f'{_ROUTER}/fleet/lease.py',
-        'return self.now() < self.until',
-        'return self.until > 0',
+        'return self.now() < self.expires_at',
+        'return self.expires_at > 0',
         'test_routers_cut_off_from_control_stop_and_come_back',
     ),
     Mechanism(
         'claim before dispatch',
         f'{_ROUTER}/dispatch/attempts.py',
-        'if admitted.key is None:\n        return False\n    kept',
-        'if admitted:\n        return False\n    kept',
+        'if admitted.key is None:\n        return False\n    stored',
+        'if admitted:\n        return False\n    stored',
         'test_one_key_through_every_router_runs_once',
     ),
     Mechanism(
@@ -128,7 +129,7 @@
     Mechanism(
         'least served first',
         f'{_ROUTER}/scheduling/policy.py',
-        '    return share.virtual()\n',
+        '    return share.virtual_service()\n',
         '    return head.since\n',
         'test_service_follows_the_weights',
     ),
@@ -149,15 +150,15 @@
     Mechanism(
         'patience',
         f'{_ROUTER}/scheduling/shard.py',
-        'return [patient, *heads] if patient else heads',
+        'return [starved, *heads] if starved else heads',
         'return heads',
         'test_nobody_waits_for_ever_whatever_its_debt',
     ),
     Mechanism(
         'duties move when their holder is lost',
-        f'{_CONTROL}/fleet/duties.py',
-        'if duty is not None and duty.incarnation in holding:',
-        'if duty is not None:',
+        f'{_CONTROL}/fleet/assignments.py',
+        'if assignment is not None and assignment.incarnation in holders:',
+        'if assignment is not None:',
         'test_loss_of_the_scheduler_loses_no_answer',
     ),
     Mechanism(
@@ -172,16 +173,16 @@
 
 
 def fails_without(mechanism: Mechanism, scratch: Path) -> bool:
-    """Tell whether the test notices that a mechanism is off."""
+    """Return whether the test fails, or times out, without a mechanism."""
     path = scratch / mechanism.path
-    whole = path.read_text()
-    assert mechanism.present in whole, f'{mechanism.name}: text not found'
-    path.write_text(whole.replace(mechanism.present, mechanism.changed))
+    original = path.read_text()
+    assert mechanism.present in original, f'{mechanism.name}: text not found'
+    path.write_text(original.replace(mechanism.present, mechanism.changed))
     sources = sorted(str(one) for one in scratch.glob('packages/*/src'))
     environment = {**os.environ, 'PYTHONPATH': ':'.join(sources)}
     command = [sys.executable, '-m', 'pytest', '-x', '-k', mechanism.test]
     try:
-        ended = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=scratch,
             env=environment,
@@ -192,12 +193,12 @@
     except subprocess.TimeoutExpired:
         return True
     finally:
-        path.write_text(whole)
-    return ended.returncode == 1
+        path.write_text(original)
+    return completed.returncode == 1
 
 
 def main() -> int:
-    """Run every row; 1 if a test did not notice."""
+    """Check every mechanism; return 1 if a test passed without it."""
     word = sys.argv[1] if len(sys.argv) > 1 else ''
     unnoticed = 0
     with tempfile.TemporaryDirectory() as folder:
