--- a/packages/control/src/hitchdeck_control/fleet/leader.py
+++ b/packages/control/src/hitchdeck_control/fleet/leader.py
@@ -46,7 +46,7 @@
         self.routers = RouterTable(now, lease_seconds)
         self.usage = UsageTable()
         self.directory = DirectoryState()
-        # Kept across leaderships, since verdicts apply whoever leads.
+        # Kept across leaderships, since verdicts apply under any leader.
         self.quarantine = Quarantine(now, machine.version_changed)
 
     def check_leads(self) -> None:
--- a/packages/edge/src/hitchdeck_edge/hub/directory.py
+++ b/packages/edge/src/hitchdeck_edge/hub/directory.py
@@ -29,7 +29,7 @@
 MIN_ADDRESSES = 16
 """Minimum number of boxes in a selection, if the fleet has them.
 
-The load of one domain can surge within a second while callers still use cached
+A domain can be flooded within a second while callers still use cached
 addresses: five boxes of a small domain had no processor time left for 20 s, and their
 callers got 0.18 of their fair share of work.  To cross domains costs about a fiftieth
 of the worth of a long request.
@@ -45,7 +45,7 @@
 BUSY_UTILIZATION = 0.15
 """Mean utilization of a domain above which its callers also get other domains.
 
-A surge multiplies the load by five to ten within a second, and callers keep cached
+A flood multiplies the load by five to ten within a second, and callers keep cached
 addresses for some seconds: the remaining capacity has to absorb it until then.
 """
 
@@ -58,7 +58,7 @@
 MAX_SPILL_RATIO = 4.0
 """Boxes of other domains per box of the own domain, if that one is saturated.
 
-A surge from a fifth of the callers is then spread over all boxes.
+A flood from a fifth of the callers is then spread over all boxes.
 """
 
 IMBALANCE_RATIO = 1.2
@@ -236,7 +236,7 @@
 
 
 def _spill_count(same_domain: Sequence[ReadyEntry]) -> int:
-    """Return how many boxes of other domains are to share the load of a surge.
+    """Return how many boxes of other domains are to share the load of a flood.
 
     None up to ``BUSY_UTILIZATION``, ``MAX_SPILL_RATIO`` per box from
     ``SATURATED_UTILIZATION``, and linear between them, so that the load converges
--- a/packages/edge/src/hitchdeck_edge/links/placing.py
+++ b/packages/edge/src/hitchdeck_edge/links/placing.py
@@ -54,7 +54,7 @@
 
 From saturated boxes the fleet's scheduler learned that engines were slow, and it
 rejected requests of every domain: callers got 0.07 to 0.2 of their fair share in the
-ten seconds after a surge of one domain, and 0.33 to 0.8 before it.
+ten seconds after a flood of one domain, and 0.33 to 0.8 before it.
 """
 
 MAX_UNANSWERED = 3
--- a/packages/edge/src/hitchdeck_edge/serving/caller.py
+++ b/packages/edge/src/hitchdeck_edge/serving/caller.py
@@ -22,7 +22,7 @@
     ----------
     started
         Whether the head of a response was sent.
-    gone
+    disconnected
         Whether the caller closed its connection.
     """
 
--- a/packages/edge/src/hitchdeck_edge/serving/metrics.py
+++ b/packages/edge/src/hitchdeck_edge/serving/metrics.py
@@ -10,7 +10,7 @@
 
 MS_PER_SECOND = 1000.0
 MAX_HISTOGRAMS = 60
-"""Maximum number of histograms."""
+"""Maximum number of histograms: a few for each account and route in use."""
 
 
 DURATION_DECAY = 0.997
--- a/packages/router/src/hitchdeck_router/dispatch/requests.py
+++ b/packages/router/src/hitchdeck_router/dispatch/requests.py
@@ -36,7 +36,7 @@
         Hashes of growing prefixes of the prompt, the shortest first.
     upstream
         Upstream to which it was sent last, for the log.
-    has_left
+    has_disconnected
         Returns whether the caller has closed the connection, from its socket.
     target
         Method and path of the request.
--- a/packages/router/src/hitchdeck_router/scheduling/costs.py
+++ b/packages/router/src/hitchdeck_router/scheduling/costs.py
@@ -26,7 +26,7 @@
     ----------
     characters
         Length of the prompt in characters.
-    most_output
+    max_output_tokens
         The caller's limit on generated tokens, ``None`` for no limit.
     """
     output = min(max_output_tokens or _TYPICAL_OUTPUT_TOKENS, _TYPICAL_OUTPUT_TOKENS)
